--- a/decision/admission_queue.cpp
+++ b/decision/admission_queue.cpp
@@ -55,7 +55,7 @@
 } // namespace
 
 AdmissionQueue::ModelQueue::ModelQueue(const QueueLimits &limits)
-    : queue(limits.shortCost, limits.quantum)
+    : queue(limits.maxShortCost, limits.quantum)
     , estimate({.rate = limits.initialRate})
 {
 }
@@ -120,14 +120,14 @@
     return std::nullopt;
 }
 
-void AdmissionQueue::putBack(const QueuedRequest &request, TimePoint now)
+void AdmissionQueue::requeue(const QueuedRequest &request, TimePoint now)
 {
     if (entries_.contains(request.id)) {
         return;
     }
     ModelQueue &model = modelQueue(request.model);
-    model.estimate.onPutBack(request.cost);
-    model.queue.putBack(insert(request));
+    model.estimate.onRequeued(request.cost);
+    model.queue.requeue(insert(request));
     collectExpired(now);
 }
 
@@ -173,7 +173,7 @@
     return removed;
 }
 
-std::vector<QueuedRequest> AdmissionQueue::removeKey(TeamId team, KeyId key, TimePoint now)
+std::vector<QueuedRequest> AdmissionQueue::removeByKey(TeamId team, KeyId key, TimePoint now)
 {
     return removeIf([team, key](const QueuedRequest &request) { return request.team == team && request.key == key; }, now);
 }
@@ -275,7 +275,7 @@
 void AdmissionQueue::onBlocked(ModelQueue &model, TimePoint now)
 {
     if (!model.estimate.isBlocked() && now - model.emptiedAt > sharesStaleAfter) {
-        model.queue.forgetShares();
+        model.queue.resetShares();
     }
     model.queue.setContended(true);
     model.estimate.onBlocked(now);
--- a/decision/admission_queue.h
+++ b/decision/admission_queue.h
@@ -21,7 +21,7 @@
 {
     Duration maxWait = std::chrono::seconds(10); ///< A request that would wait longer is refused, whatever its own deadline.
     std::size_t maxRequests = 100'000; ///< Bounds memory: about 250 bytes a request, so 25 MB of a host's 256 MB.
-    std::int64_t shortCost = 1'000; ///< Tokens up to which work is short: one cache block.
+    std::int64_t maxShortCost = 1'000; ///< Tokens up to which work is short: one cache block.
     std::int64_t quantum = 1'000; ///< Tokens a team gets each round: one cache block, the smallest piece engines work in.
     double initialRate = 20'000; ///< Tokens a second and model assumed until a backlog has been measured.
 };
@@ -73,7 +73,7 @@
     std::optional<QueuedRequest> next(TimePoint now, const CanDispatch &canDispatch);
 
     /// Puts back a request from `next` that reached no engine. It is served first among its like and its team pays once.
-    void putBack(const QueuedRequest &request, TimePoint now);
+    void requeue(const QueuedRequest &request, TimePoint now);
 
     /// Takes out all requests whose deadline has passed.
     std::vector<ExpiredRequest> expire(TimePoint now);
@@ -88,7 +88,7 @@
     std::vector<QueuedRequest> removeIf(const std::function<bool(const QueuedRequest &)> &matches, TimePoint now);
 
     /// Takes out and returns what came with a key that has been withdrawn.
-    std::vector<QueuedRequest> removeKey(TeamId team, KeyId key, TimePoint now);
+    std::vector<QueuedRequest> removeByKey(TeamId team, KeyId key, TimePoint now);
 
     /// Refuses all offers from now on; what waits is still served.
     void drain();
--- a/decision/fair_queue.cpp
+++ b/decision/fair_queue.cpp
@@ -15,8 +15,8 @@
 
 } // namespace
 
-FairQueue::FairQueue(std::int64_t shortCost, std::int64_t quantum)
-    : shortCost_(shortCost)
+FairQueue::FairQueue(std::int64_t maxShortCost, std::int64_t quantum)
+    : maxShortCost_(maxShortCost)
     , quantum_(quantum)
 {
 }
@@ -42,7 +42,7 @@
 
 LaneKind FairQueue::laneOf(std::int64_t cost) const
 {
-    return cost <= shortCost_ ? LaneKind::Short : LaneKind::Long;
+    return cost <= maxShortCost_ ? LaneKind::Short : LaneKind::Long;
 }
 
 void FairQueue::push(QueueEntry &entry)
@@ -53,7 +53,7 @@
     add(lane, entry);
 }
 
-void FairQueue::putBack(QueueEntry &entry)
+void FairQueue::requeue(QueueEntry &entry)
 {
     Lane &lane = laneFor(entry.request);
     figuresOf(lane).account += entry.request.cost;
@@ -144,7 +144,7 @@
     isContended_ = isContended;
 }
 
-void FairQueue::forgetShares()
+void FairQueue::resetShares()
 {
     ++shareEpoch_;
 }
--- a/decision/fair_queue.h
+++ b/decision/fair_queue.h
@@ -45,8 +45,8 @@
 class FairQueue
 {
 public:
-    /// Requests of at most `shortCost` tokens are short. A round gives a team of weight 1 `quantum` tokens.
-    FairQueue(std::int64_t shortCost, std::int64_t quantum);
+    /// Requests of at most `maxShortCost` tokens are short. A round gives a team of weight 1 `quantum` tokens.
+    FairQueue(std::int64_t maxShortCost, std::int64_t quantum);
     ~FairQueue();
     FairQueue(const FairQueue &) = delete;
     FairQueue &operator=(const FairQueue &) = delete;
@@ -60,7 +60,7 @@
     void push(QueueEntry &entry);
 
     /// Puts back the request that `pop` gave out, ahead of its like, and returns its tokens to the account.
-    void putBack(QueueEntry &entry);
+    void requeue(QueueEntry &entry);
 
     /// Takes out a request that will not be served.
     void erase(QueueEntry &entry);
@@ -91,7 +91,7 @@
     void setContended(bool isContended);
 
     /// Drops what was learnt about shares, as after a pause.
-    void forgetShares();
+    void resetShares();
 
     std::size_t size() const;
 
@@ -197,7 +197,7 @@
     void visitNextFlow();
     void skipRounds();
 
-    std::int64_t shortCost_;
+    std::int64_t maxShortCost_;
     std::int64_t quantum_;
     std::unordered_map<TeamId, Flow> flows_;
     std::vector<FlowFigures> figures_;
--- a/decision/request_scheduler.cpp
+++ b/decision/request_scheduler.cpp
@@ -146,7 +146,7 @@
         return std::nullopt;
     }
     Reason reason;
-    if (request.reachedTarget && !budget.tryRetry(now, reason)) {
+    if (request.reachedTarget && !budget.tryAcquire(now, reason)) {
         return refuse(request.id, reason, retryBudgetRetry);
     }
     return std::nullopt;
@@ -162,7 +162,7 @@
 {
     std::vector<SchedulerOutcome> outcomes;
     const KeyId key = keys_.idOf(std::string(team) + '\n' + std::string(keyId));
-    for (const QueuedRequest &request : queue_.removeKey(teams_.idOf(team), key, now)) {
+    for (const QueuedRequest &request : queue_.removeByKey(teams_.idOf(team), key, now)) {
         outcomes.emplace_back(refuse(request.id, {ResultCode::KeyWithdrawn, {}}, {}));
     }
     return outcomes;
@@ -309,7 +309,7 @@
     }
 }
 
-void RequestScheduler::onEnded(RequestId id, SchedulerEnd end, TimePoint now)
+void RequestScheduler::onEnded(RequestId id, DispatchResult end, TimePoint now)
 {
     const auto entry = inFlight_.find(id);
     if (entry == inFlight_.end()) {
@@ -318,14 +318,14 @@
     InFlight ended = entry->second;
     inFlight_.erase(entry);
     switch (end) {
-    case SchedulerEnd::Finished:
+    case DispatchResult::Finished:
         placement_.onFinished(ended.dispatch, now);
         break;
-    case SchedulerEnd::Failed:
+    case DispatchResult::Failed:
         placement_.onFailed(ended.dispatch, now);
         break;
-    case SchedulerEnd::Declined:
-    case SchedulerEnd::Cancelled:
+    case DispatchResult::Declined:
+    case DispatchResult::Cancelled:
         placement_.onCancelled(ended.dispatch);
         break;
     }
@@ -333,26 +333,26 @@
     if (engine == nullptr) {
         return;
     }
-    if (end == SchedulerEnd::Failed || end == SchedulerEnd::Declined) {
+    if (end == DispatchResult::Failed || end == DispatchResult::Declined) {
         engine->window.onFailed(ended.window, now);
     }
     engine->window.onFinished(ended.window, now);
 }
 
-bool RequestScheduler::canTryElsewhere(RequestId id, TimePoint now)
+bool RequestScheduler::canRetryElsewhere(RequestId id, TimePoint now)
 {
     const auto entry = inFlight_.find(id);
     const Engine *present = entry != inFlight_.end() ? engineOf(entry->second) : nullptr;
     if (present == nullptr) {
         return true; // Its engine is gone from the list: nothing is to be expected there.
     }
-    return budgetOf(present->model).hasRoom(now) && std::any_of(engines_.begin(), engines_.end(), [&](const auto &item) {
+    return budgetOf(present->model).canRetry(now) && std::any_of(engines_.begin(), engines_.end(), [&](const auto &item) {
                const Engine &engine = item.second;
                return &engine != present && engine.model == present->model && engine.isServing && engine.window.canStart(1);
            });
 }
 
-void RequestScheduler::onSilent(RequestId id, TimePoint now)
+void RequestScheduler::onStalled(RequestId id, TimePoint now)
 {
     const auto entry = inFlight_.find(id);
     if (Engine *engine = entry != inFlight_.end() ? engineOf(entry->second) : nullptr) {
--- a/decision/request_scheduler.h
+++ b/decision/request_scheduler.h
@@ -79,7 +79,7 @@
 using SchedulerOutcome = std::variant<SchedulerAssignment, SchedulerRefusal>;
 
 /// How an assigned request ended.
-enum class SchedulerEnd : std::uint8_t
+enum class DispatchResult : std::uint8_t
 {
     Finished,
     Failed, ///< The engine broke, stalled or refused.
@@ -129,13 +129,13 @@
     void onDispatchedElsewhere(std::string_view engine, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now);
 
     void onFirstToken(RequestId id, std::optional<std::uint32_t> cachedTokens, TimePoint now);
-    void onEnded(RequestId id, SchedulerEnd end, TimePoint now);
+    void onEnded(RequestId id, DispatchResult end, TimePoint now);
 
     /// Whether a request that is at an engine could be sent to another one now: one has room, and the retry budget allows it.
-    bool canTryElsewhere(RequestId id, TimePoint now);
+    bool canRetryElsewhere(RequestId id, TimePoint now);
 
     /// The engine has been silent for too long about a request that stays there: it has more than it can do.
-    void onSilent(RequestId id, TimePoint now);
+    void onStalled(RequestId id, TimePoint now);
 
     void onLoadReport(std::string_view engine, const LoadReport &report, TimePoint now);
     void onCacheEvents(std::string_view engine, std::uint64_t incarnation, std::uint64_t firstSequence, std::span<const CacheEvent> events);
--- a/decision/retry_budget.cpp
+++ b/decision/retry_budget.cpp
@@ -17,16 +17,16 @@
     ++buckets_[static_cast<std::size_t>(second_) % windowSeconds].requests;
 }
 
-bool RetryBudget::hasRoom(TimePoint now)
+bool RetryBudget::canRetry(TimePoint now)
 {
     advance(now);
     const Bucket sum = total();
-    return static_cast<double>(sum.retries) < std::max(limits_.slack, static_cast<double>(sum.requests) * limits_.ratio);
+    return static_cast<double>(sum.retries) < std::max(limits_.minRetries, static_cast<double>(sum.requests) * limits_.ratio);
 }
 
-bool RetryBudget::tryRetry(TimePoint now, Reason &reason)
+bool RetryBudget::tryAcquire(TimePoint now, Reason &reason)
 {
-    if (!hasRoom(now)) {
+    if (!canRetry(now)) {
         reason = {.code = ResultCode::RetryBudgetSpent, .text = std::string(resultCodeInfo(ResultCode::RetryBudgetSpent).meaning)};
         return false;
     }
--- a/decision/retry_budget.h
+++ b/decision/retry_budget.h
@@ -22,7 +22,7 @@
     struct Limits
     {
         double ratio = 0.1; ///< Retries per request.
-        double slack = 3; ///< Retries in the window that are allowed whatever the traffic.
+        double minRetries = 3; ///< Retries in the window that are allowed whatever the traffic.
     };
 
     void setLimits(const Limits &limits);
@@ -30,11 +30,11 @@
     /// Counts a request that was sent to a target for the first time.
     void onRequest(TimePoint now);
 
-    /// Whether `tryRetry` would be allowed.
-    bool hasRoom(TimePoint now);
+    /// Whether `tryAcquire` would be allowed.
+    bool canRetry(TimePoint now);
 
     /// Takes one retry from the budget; false with RetryBudgetSpent if retries would pass their part.
-    bool tryRetry(TimePoint now, Reason &reason);
+    bool tryAcquire(TimePoint now, Reason &reason);
 
 private:
     /// The traffic of one second.
--- a/decision/team_rates.cpp
+++ b/decision/team_rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "decision/team_rates.h"
+#include "decision/team_rate_limiter.h"
 
 #include <algorithm>
 
@@ -18,12 +18,12 @@
 
 } // namespace
 
-TeamRates::TeamRates(LargeRequests largeRequests)
-    : largeRequests_(largeRequests)
+TeamRateLimiter::TeamRateLimiter(LargeRequestPolicy largeRequestPolicy)
+    : largeRequestPolicy_(largeRequestPolicy)
 {
 }
 
-void TeamRates::setLimits(std::span<const TeamLimit> limits, TimePoint now)
+void TeamRateLimiter::setLimits(std::span<const TeamLimit> limits, TimePoint now)
 {
     std::map<std::string, Bucket, std::less<>> buckets;
     for (const TeamLimit &limit : limits) {
@@ -43,7 +43,7 @@
     buckets_ = std::move(buckets);
 }
 
-void TeamRates::setShare(double share, TimePoint now)
+void TeamRateLimiter::setShare(double share, TimePoint now)
 {
     for (auto &[name, bucket] : buckets_) {
         refill(bucket, now);
@@ -54,7 +54,7 @@
     }
 }
 
-bool TeamRates::tryTake(std::string_view team, double tokens, TimePoint now, Reason &reason, Duration &retryAfter)
+bool TeamRateLimiter::tryConsume(std::string_view team, double tokens, TimePoint now, Reason &reason, Duration &retryAfter)
 {
     const auto found = buckets_.find(team);
     if (found == buckets_.end() || found->second.limit.rate <= 0) {
@@ -62,7 +62,7 @@
     }
     Bucket &bucket = found->second;
     refill(bucket, now);
-    const double needed = largeRequests_ == LargeRequests::LeaveDebt ? std::min(tokens, capacity(bucket)) : tokens;
+    const double needed = largeRequestPolicy_ == LargeRequestPolicy::AllowDebt ? std::min(tokens, capacity(bucket)) : tokens;
     if (bucket.tokens >= needed) {
         bucket.tokens -= tokens;
         return true;
@@ -74,7 +74,7 @@
     return false;
 }
 
-void TeamRates::restart(std::string_view team, double part, TimePoint since)
+void TeamRateLimiter::resetBucket(std::string_view team, double part, TimePoint since)
 {
     const auto found = buckets_.find(team);
     if (found != buckets_.end()) {
@@ -83,7 +83,7 @@
     }
 }
 
-void TeamRates::giveBack(std::string_view team, double tokens)
+void TeamRateLimiter::refund(std::string_view team, double tokens)
 {
     const auto found = buckets_.find(team);
     if (found != buckets_.end()) {
@@ -91,14 +91,14 @@
     }
 }
 
-void TeamRates::refill(Bucket &bucket, TimePoint now) const
+void TeamRateLimiter::refill(Bucket &bucket, TimePoint now) const
 {
     const double seconds = std::max(0.0, toSeconds(now - bucket.refilledAt));
     bucket.refilledAt = std::max(bucket.refilledAt, now);
     bucket.tokens = std::min(bucket.tokens + bucket.limit.rate * share_ * seconds, capacity(bucket));
 }
 
-double TeamRates::capacity(const Bucket &bucket) const
+double TeamRateLimiter::capacity(const Bucket &bucket) const
 {
     return bucket.limit.burst * share_;
 }
--- a/decision/team_rates.h
+++ b/decision/team_rate_limiter.h
@@ -25,18 +25,18 @@
 /// The load it is made for: one team sends several times its rate to all hosts. The harm prevented: its work takes the targets
 /// from teams within their rate. The shares of all hosts add up to one at any time, so that the sum holds without a message
 /// while a host is cut off. Not thread-safe; reads no clock.
-class TeamRates
+class TeamRateLimiter
 {
 public:
     /// Whether a request larger than a full bucket may run from a full one and leave a debt. It would never run otherwise; but each of
     /// hundreds of hosts, with small buckets of their own, would let one such request pass.
-    enum class LargeRequests : std::uint8_t
+    enum class LargeRequestPolicy : std::uint8_t
     {
-        LeaveDebt,
-        Refused,
+        AllowDebt,
+        Refuse,
     };
 
-    explicit TeamRates(LargeRequests largeRequests = LargeRequests::LeaveDebt);
+    explicit TeamRateLimiter(LargeRequestPolicy largeRequestPolicy = LargeRequestPolicy::AllowDebt);
 
     /// Replaces the limits. A team that is known keeps what it has, up to its new burst; a new one begins with half of its burst:
     /// hosts that restart together would otherwise each hand out a whole one again.
@@ -46,13 +46,13 @@
     void setShare(double share, TimePoint now);
 
     /// Takes `tokens`; false with OverRate and the time after which they would be there.
-    bool tryTake(std::string_view team, double tokens, TimePoint now, Reason &reason, Duration &retryAfter);
+    bool tryConsume(std::string_view team, double tokens, TimePoint now, Reason &reason, Duration &retryAfter);
 
     /// Begins anew with this part of a full bucket and is refilled from `since` on: another host gave out this part until then.
-    void restart(std::string_view team, double part, TimePoint since);
+    void resetBucket(std::string_view team, double part, TimePoint since);
 
     /// Returns tokens of a request that did not run.
-    void giveBack(std::string_view team, double tokens);
+    void refund(std::string_view team, double tokens);
 
 private:
     struct Bucket
@@ -65,7 +65,7 @@
     void refill(Bucket &bucket, TimePoint now) const;
     double capacity(const Bucket &bucket) const;
 
-    LargeRequests largeRequests_;
+    LargeRequestPolicy largeRequestPolicy_;
     std::map<std::string, Bucket, std::less<>> buckets_;
     double share_ = 1;
 };
--- a/decision/wait_estimate.cpp
+++ b/decision/wait_estimate.cpp
@@ -52,7 +52,7 @@
     tokens_ += static_cast<double>(tokens);
 }
 
-void WaitEstimate::onPutBack(std::int64_t tokens)
+void WaitEstimate::onRequeued(std::int64_t tokens)
 {
     if (!isBlocked_) {
         return;
--- a/decision/wait_estimate.h
+++ b/decision/wait_estimate.h
@@ -32,7 +32,7 @@
     void onDispatched(std::int64_t tokens, TimePoint now);
 
     /// A request of `tokens` came back without having reached an engine.
-    void onPutBack(std::int64_t tokens);
+    void onRequeued(std::int64_t tokens);
 
     /// Nothing waits any more.
     void onEmptied(TimePoint now);
--- a/gateway/fleet_link.cpp
+++ b/gateway/fleet_link.cpp
@@ -93,7 +93,7 @@
 
 void FleetLink::giveBackTokens(std::string_view team, double tokens)
 {
-    budget_.giveBack(team, tokens);
+    budget_.refund(team, tokens);
 }
 
 void FleetLink::announceLoading(const std::string &targetId, Duration time)
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -263,7 +263,7 @@
 void Gateway::applyRetryLimits()
 {
     const std::size_t count = std::max<std::size_t>(hosts_.size(), 1);
-    dispatch_.setRetryLimits({options_.limits.retries.ratio * retryPart, options_.limits.retries.slack * retryPart / static_cast<double>(count)});
+    dispatch_.setRetryLimits({options_.limits.retries.ratio * retryPart, options_.limits.retries.minRetries * retryPart / static_cast<double>(count)});
 }
 
 const std::map<std::string, HostRecord> &Gateway::hosts() const
--- a/gateway/request_dispatch.cpp
+++ b/gateway/request_dispatch.cpp
@@ -128,17 +128,17 @@
     scheduleDecide();
 }
 
-bool RequestDispatch::canTryElsewhere(RequestId id)
+bool RequestDispatch::canRetryElsewhere(RequestId id)
 {
-    return scheduler_.canTryElsewhere(id, BootClock::now());
+    return scheduler_.canRetryElsewhere(id, BootClock::now());
 }
 
-void RequestDispatch::onSilent(RequestId id)
+void RequestDispatch::onStalled(RequestId id)
 {
-    scheduler_.onSilent(id, BootClock::now());
+    scheduler_.onStalled(id, BootClock::now());
 }
 
-void RequestDispatch::onEnded(RequestId id, SchedulerEnd end)
+void RequestDispatch::onEnded(RequestId id, DispatchResult end)
 {
     scheduler_.onEnded(id, end, BootClock::now());
     requests_.erase(id);
@@ -204,7 +204,7 @@
         const RequestId id = std::visit([](const auto &known) { return known.id; }, outcome);
         const auto found = requests_.find(id);
         if (found == requests_.end()) {
-            scheduler_.onEnded(id, SchedulerEnd::Cancelled, BootClock::now());
+            scheduler_.onEnded(id, DispatchResult::Cancelled, BootClock::now());
             continue;
         }
         const auto request = found->second;
--- a/gateway/request_dispatch.h
+++ b/gateway/request_dispatch.h
@@ -54,13 +54,13 @@
     void onFirstToken(RequestId id);
 
     /// Whether a request that is at a target could be sent to another one now.
-    bool canTryElsewhere(RequestId id);
+    bool canRetryElsewhere(RequestId id);
 
     /// A target has been silent for too long about a request that stays there.
-    void onSilent(RequestId id);
+    void onStalled(RequestId id);
 
     /// A target is done with a request, well or not.
-    void onEnded(RequestId id, SchedulerEnd end);
+    void onEnded(RequestId id, DispatchResult end);
 
     /// The request has its outcome.
     void forget(RequestId id);
--- a/gateway/routed_request.cpp
+++ b/gateway/routed_request.cpp
@@ -151,18 +151,18 @@
     holder_ = assignment.holder;
     Reason reason;
     if (!intake_.checkAgain(reason)) {
-        endDispatch(SchedulerEnd::Cancelled);
+        endDispatch(DispatchResult::Cancelled);
         fail(reason);
         return;
     }
     if (isQuarantined()) {
-        endDispatch(SchedulerEnd::Cancelled);
+        endDispatch(DispatchResult::Cancelled);
         failQuarantined();
         return;
     }
     const Target *target = gateway_.targets().find(assignment.engine);
     if (target == nullptr) {
-        endDispatch(SchedulerEnd::Cancelled);
+        endDispatch(DispatchResult::Cancelled);
         tryElsewhere();
         return;
     }
@@ -294,7 +294,7 @@
         gateway_.dispatch().onFirstToken(schedulerId_);
     }
     const bool isFailure = answerHead_.status >= firstErrorStatus || !isAnswerKept_;
-    endDispatch(isFailure ? SchedulerEnd::Failed : SchedulerEnd::Finished);
+    endDispatch(isFailure ? DispatchResult::Failed : DispatchResult::Finished);
     if (!isAnswerKept_) {
         breakOff("resumed stream was refused");
         return;
@@ -321,7 +321,7 @@
     --runs_;
     gateway_.targets().onNotExecuted(targetId_, notExecuted_, intake_.caller().model, BootClock::now());
     gateway_.dispatch().invalidateEngines();
-    endDispatch(notExecuted_.isOtherTarget ? SchedulerEnd::Cancelled : SchedulerEnd::Declined);
+    endDispatch(notExecuted_.isOtherTarget ? DispatchResult::Cancelled : DispatchResult::Declined);
     log_.declined(targetId_, answerHead_.status, notExecuted_.isOtherTarget);
     isNotExecuted_ = false;
     tryElsewhere();
@@ -339,7 +339,7 @@
     if (loss == TargetLoss::MayHaveRun && !isFirstEventNoted_) {
         gateway_.fleet().crashes().onTargetLost({fingerprint_, targetStart_}, BootClock::now());
     }
-    endDispatch(SchedulerEnd::Failed);
+    endDispatch(DispatchResult::Failed);
     events_.dropPartial();
     held_.clear();
     if (loss == TargetLoss::NotSent) {
@@ -359,7 +359,7 @@
     }
 }
 
-void RoutedRequest::endDispatch(SchedulerEnd end)
+void RoutedRequest::endDispatch(DispatchResult end)
 {
     isFirstEventNoted_ = false;
     gateway_.dispatch().onEnded(schedulerId_, end);
@@ -445,7 +445,7 @@
         connection_.reset();
     }
     if (isRunning()) {
-        endDispatch(SchedulerEnd::Cancelled);
+        endDispatch(DispatchResult::Cancelled);
     } else {
         gateway_.dispatch().cancelQueued(schedulerId_);
     }
@@ -479,10 +479,10 @@
         return;
     }
     bool isStalled = phase_ == Phase::Sent && isRetryable() && now >= stallAt_;
-    if (isStalled && now < limit_ && !gateway_.dispatch().canTryElsewhere(schedulerId_)) {
+    if (isStalled && now < limit_ && !gateway_.dispatch().canRetryElsewhere(schedulerId_)) {
         // Broken off here, work that nobody else can take now would be lost, and its answer, though late, with it.
         isStalled = false;
-        gateway_.dispatch().onSilent(schedulerId_);
+        gateway_.dispatch().onStalled(schedulerId_);
         stallAt_ = now + stallLook;
     }
     if (now < limit_ && !isStalled) {
@@ -495,7 +495,7 @@
         if (session_ == nullptr) {
             connection_->abandon();
             connection_.reset();
-            endDispatch(SchedulerEnd::Failed);
+            endDispatch(DispatchResult::Failed);
             finish("abandoned", 0);
             return;
         }
@@ -510,7 +510,7 @@
     }
     if (wasRunning) {
         hasRun_ = true;
-        endDispatch(SchedulerEnd::Failed);
+        endDispatch(DispatchResult::Failed);
     } else {
         gateway_.dispatch().cancelQueued(schedulerId_);
     }
--- a/gateway/routed_request.h
+++ b/gateway/routed_request.h
@@ -87,7 +87,7 @@
     void onNotExecuted();
     void onEvents(std::string_view events);
     void relay(std::string_view bytes);
-    void endDispatch(SchedulerEnd end);
+    void endDispatch(DispatchResult end);
     bool isRetryable() const;
     bool isQuarantined() const;
     void failQuarantined();
--- a/gateway/team_budget.cpp
+++ b/gateway/team_budget.cpp
@@ -66,7 +66,7 @@
 {
     Reason reason;
     Duration retryAfter{};
-    if (own_.tryTake(team, tokens, now, reason, retryAfter)) {
+    if (own_.tryConsume(team, tokens, now, reason, retryAfter)) {
         answer({true});
         return;
     }
@@ -83,7 +83,7 @@
     }
     Reason reason;
     Duration retryAfter{};
-    const bool isGranted = pools_.tryTake(request.team, request.tokens, now, reason, retryAfter);
+    const bool isGranted = pools_.tryConsume(request.team, request.tokens, now, reason, retryAfter);
     return {request.id, isGranted, retryAfter};
 }
 
@@ -124,9 +124,9 @@
     return next;
 }
 
-void TeamBudget::giveBack(std::string_view team, double tokens)
+void TeamBudget::refund(std::string_view team, double tokens)
 {
-    own_.giveBack(team, tokens);
+    own_.refund(team, tokens);
 }
 
 std::vector<std::string> TeamBudget::homesOf(std::string_view team) const
@@ -182,7 +182,7 @@
         }
         const Duration settle = isStart ? Duration::zero() : homeSettleTime;
         homes.emplace(limit.name, now + settle);
-        pools_.restart(limit.name, isStart ? startingPool : 0, now + settle);
+        pools_.resetBucket(limit.name, isStart ? startingPool : 0, now + settle);
     }
     homeSince_ = std::move(homes);
 }
--- a/gateway/team_budget.h
+++ b/gateway/team_budget.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "decision/rendezvous.h"
-#include "decision/team_rates.h"
+#include "decision/team_rate_limiter.h"
 #include "gateway/peer_socket.h"
 
 namespace Lovageloft
@@ -59,7 +59,7 @@
     std::optional<TimePoint> nextTimeout() const;
 
     /// Returns tokens of a request that did not run.
-    void giveBack(std::string_view team, double tokens);
+    void refund(std::string_view team, double tokens);
 
 private:
     struct Pending
@@ -81,8 +81,8 @@
     std::string host_;
     std::vector<TeamLimit> limits_;
     RendezvousNames candidates_; ///< Hosts that may be homes.
-    TeamRates own_{TeamRates::LargeRequests::Refused};
-    TeamRates pools_;
+    TeamRateLimiter own_{TeamRateLimiter::LargeRequestPolicy::Refuse};
+    TeamRateLimiter pools_;
     std::map<std::string, TimePoint, std::less<>> homeSince_; ///< Teams whose pool lies here, and from when on it is given out.
     std::map<std::uint64_t, Pending> pending_;
     std::uint64_t lastId_ = 0;
--- a/servers/completion_handler.cpp
+++ b/servers/completion_handler.cpp
@@ -167,7 +167,7 @@
             return std::nullopt;
         }
         if (!mayStillRun()) {
-            parts_.dispatcher.onEnded(id, SchedulerEnd::Cancelled);
+            parts_.dispatcher.onEnded(id, DispatchResult::Cancelled);
             return std::nullopt;
         }
         return std::get<Assignment>(*outcome);
@@ -230,9 +230,9 @@
         parts_.metrics.add("lovageloft_prompt_tokens_total", {}, static_cast<std::uint64_t>(usage.promptTokens));
         parts_.metrics.add("lovageloft_cached_tokens_total", {}, static_cast<std::uint64_t>(usage.cachedTokens));
     }
-    const SchedulerEnd end = result == RelayResult::Done ? SchedulerEnd::Finished
-        : result == RelayResult::Failed                  ? SchedulerEnd::Failed
-                                                         : SchedulerEnd::Cancelled;
+    const DispatchResult end = result == RelayResult::Done ? DispatchResult::Finished
+        : result == RelayResult::Failed                    ? DispatchResult::Failed
+                                                           : DispatchResult::Cancelled;
     parts_.dispatcher.onEnded(assignment.id, end);
     return result;
 }
--- a/servers/dispatcher.cpp
+++ b/servers/dispatcher.cpp
@@ -86,7 +86,7 @@
         const TimePoint now = BootClock::now();
         scheduler.cancel(id, now);
         // It may have been assigned just before.
-        scheduler.onEnded(id, SchedulerEnd::Cancelled, now);
+        scheduler.onEnded(id, DispatchResult::Cancelled, now);
         pending_.erase(id);
     });
 }
@@ -96,7 +96,7 @@
     post([id, cachedTokens, now = BootClock::now()](RequestScheduler &scheduler) { scheduler.onFirstToken(id, cachedTokens, now); });
 }
 
-void Dispatcher::onEnded(RequestId id, SchedulerEnd end)
+void Dispatcher::onEnded(RequestId id, DispatchResult end)
 {
     post([id, end, now = BootClock::now()](RequestScheduler &scheduler) { scheduler.onEnded(id, end, now); });
 }
--- a/servers/dispatcher.h
+++ b/servers/dispatcher.h
@@ -63,7 +63,7 @@
 
     void cancel(RequestId id);
     void onFirstToken(RequestId id, std::optional<std::uint32_t> cachedTokens);
-    void onEnded(RequestId id, SchedulerEnd end);
+    void onEnded(RequestId id, DispatchResult end);
 
     /// What an engine says of itself; `weightsVersion` is empty where it does not say.
     void onEngineSeen(const std::string &engine, std::uint64_t incarnation, const std::string &weightsVersion);
--- a/tests/decision/test_admission_queue.cpp
+++ b/tests/decision/test_admission_queue.cpp
@@ -129,7 +129,7 @@
         request.key = KeyId{static_cast<std::uint32_t>(id % 2)};
         BOOST_TEST(admit(request));
     }
-    BOOST_TEST(queue.removeKey(TeamId{1}, KeyId{1}, start).size() == 2U);
+    BOOST_TEST(queue.removeByKey(TeamId{1}, KeyId{1}, start).size() == 2U);
     BOOST_TEST(queue.removeIf([](const QueuedRequest &request) { return request.team == TeamId{2}; }, start).size() == 2U);
     BOOST_TEST(order() == std::vector<std::uint64_t>({2, 4}), boost::test_tools::per_element());
 }
@@ -153,7 +153,7 @@
         if (const auto next = queue.next(now, randomBelow(random, 2) == 0 ? &anyEngine : &noEngine)) {
             BOOST_REQUIRE((next->deadline > now));
             if (randomBelow(random, 4) == 0) {
-                queue.putBack(*next, now);
+                queue.requeue(*next, now);
             } else {
                 BOOST_REQUIRE(waiting.erase(next->id) == 1U);
             }
--- a/tests/decision/test_fair_queue.cpp
+++ b/tests/decision/test_fair_queue.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::int64_t shortCost = 1'000;
+constexpr std::int64_t maxShortCost = 1'000;
 constexpr std::int64_t quantum = 1'000;
 constexpr std::int64_t mostCost = 60'000;
 
@@ -32,11 +32,11 @@
 
     std::int64_t randomCost()
     {
-        return static_cast<std::int64_t>(1 + (randomBelow(random, 2) == 0 ? randomBelow(random, shortCost) : randomBelow(random, mostCost)));
+        return static_cast<std::int64_t>(1 + (randomBelow(random, 2) == 0 ? randomBelow(random, maxShortCost) : randomBelow(random, mostCost)));
     }
 
     std::deque<QueueEntry> entries;
-    FairQueue queue{shortCost, quantum};
+    FairQueue queue{maxShortCost, quantum};
     Random random;
 };
 
@@ -61,8 +61,8 @@
         weights[team] = static_cast<double>(1 + randomBelow(random, 4));
         queue.setWeight(TeamId{team}, weights[team]);
         for (int request = 0; request < 20; ++request) {
-            push(team, static_cast<std::int64_t>(1 + randomBelow(random, shortCost)));
-            push(team, static_cast<std::int64_t>(shortCost + 1 + randomBelow(random, mostCost - shortCost)));
+            push(team, static_cast<std::int64_t>(1 + randomBelow(random, maxShortCost)));
+            push(team, static_cast<std::int64_t>(maxShortCost + 1 + randomBelow(random, mostCost - maxShortCost)));
         }
     }
     for (int step = 0; step < 5'000; ++step) {
@@ -71,7 +71,7 @@
         push(teamOf(entry), entry.request.cost);
         const auto part = [&](std::uint32_t team) { return static_cast<double>(served[team]) / weights[team]; };
         const std::uint32_t other = static_cast<std::uint32_t>(randomBelow(random, teams));
-        BOOST_REQUIRE(part(teamOf(entry)) - part(other) <= 2 * quantum + shortCost + mostCost);
+        BOOST_REQUIRE(part(teamOf(entry)) - part(other) <= 2 * quantum + maxShortCost + mostCost);
     }
 }
 
@@ -140,7 +140,7 @@
     push(1, 5'000);
     push(2, 5'000);
     BOOST_TEST(queue.pop() == &first);
-    queue.putBack(first);
+    queue.requeue(first);
     BOOST_TEST((queue.pop()->request.team == TeamId{2}));
     BOOST_TEST(queue.pop() == &first);
 }
--- a/tests/decision/test_load_of_long_prompts.cpp
+++ b/tests/decision/test_load_of_long_prompts.cpp
@@ -128,7 +128,7 @@
             const Running done = running_.begin()->second;
             running_.erase(running_.begin());
             hosts_[done.host]->onFirstToken(done.id, std::nullopt, now_);
-            hosts_[done.host]->onEnded(done.id, SchedulerEnd::Finished, now_);
+            hosts_[done.host]->onEnded(done.id, DispatchResult::Finished, now_);
         }
     }
 
--- a/tests/decision/test_homes_of_prompts.cpp
+++ b/tests/decision/test_prefix_affinity.cpp
@@ -70,7 +70,7 @@
                     engines.insert(assignment->engine);
                     const TimePoint firstToken = now_ + fromSeconds(assignment->workTokens / tokensPerSecond);
                     host.onFirstToken(assignment->id, std::nullopt, firstToken);
-                    host.onEnded(assignment->id, SchedulerEnd::Finished, firstToken + 500ms);
+                    host.onEnded(assignment->id, DispatchResult::Finished, firstToken + 500ms);
                 }
             }
             now_ += 2s;
@@ -87,7 +87,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(HomesOfPromptsTest)
+BOOST_AUTO_TEST_SUITE(PrefixAffinityTest)
 
 BOOST_AUTO_TEST_CASE(promptsWithMuchOfTheirOwnGoWhereTheirSharedPartIs)
 {
--- a/tests/decision/test_request_scheduler.cpp
+++ b/tests/decision/test_request_scheduler.cpp
@@ -69,8 +69,8 @@
     BOOST_REQUIRE(std::holds_alternative<SchedulerAssignment>(outcome));
     BOOST_TEST(scheduler.inFlight() == 1U);
     scheduler.onFirstToken(RequestId{1}, 0, start);
-    scheduler.onEnded(RequestId{1}, SchedulerEnd::Finished, start);
-    scheduler.onEnded(RequestId{1}, SchedulerEnd::Finished, start);
+    scheduler.onEnded(RequestId{1}, DispatchResult::Finished, start);
+    scheduler.onEnded(RequestId{1}, DispatchResult::Finished, start);
     BOOST_TEST(scheduler.inFlight() == 0U);
 }
 
@@ -98,7 +98,7 @@
         const auto outcome = decideOne();
         BOOST_REQUIRE(std::holds_alternative<SchedulerAssignment>(outcome));
         BOOST_TEST(std::get<SchedulerAssignment>(outcome).engine == "b");
-        scheduler.onEnded(RequestId{id}, SchedulerEnd::Finished, start);
+        scheduler.onEnded(RequestId{id}, DispatchResult::Finished, start);
     }
     BOOST_TEST(!scheduler.submit(request(6, {"a", "b"}), start).has_value());
     BOOST_TEST(std::holds_alternative<SchedulerRefusal>(decideOne()));
@@ -131,16 +131,16 @@
     const auto outcome = decideOne();
     BOOST_REQUIRE(std::holds_alternative<SchedulerAssignment>(outcome));
     const std::string first = std::get<SchedulerAssignment>(outcome).engine;
-    BOOST_TEST(scheduler.canTryElsewhere(RequestId{1}, start));
+    BOOST_TEST(scheduler.canRetryElsewhere(RequestId{1}, start));
     scheduler.setRetryLimits({0, 0});
-    BOOST_TEST(!scheduler.canTryElsewhere(RequestId{1}, start));
+    BOOST_TEST(!scheduler.canRetryElsewhere(RequestId{1}, start));
     scheduler.setRetryLimits({});
-    BOOST_TEST(scheduler.canTryElsewhere(RequestId{1}, start));
+    BOOST_TEST(scheduler.canRetryElsewhere(RequestId{1}, start));
     const std::vector<SchedulerEngine> alone{engine(first)};
     scheduler.setEngines(alone);
-    BOOST_TEST(!scheduler.canTryElsewhere(RequestId{1}, start));
+    BOOST_TEST(!scheduler.canRetryElsewhere(RequestId{1}, start));
     scheduler.setEngines({});
-    BOOST_TEST(scheduler.canTryElsewhere(RequestId{1}, start));
+    BOOST_TEST(scheduler.canRetryElsewhere(RequestId{1}, start));
 }
 
 BOOST_AUTO_TEST_CASE(anEngineThatDeclinesOrIsSilentGetsLessAtATime)
@@ -148,7 +148,7 @@
     // An engine has more than it can do and says so, or says nothing. A host that sent it as much as before would fill its queue,
     // where neither urgency nor a team's share counts.
     std::uint64_t id = 0;
-    const auto run = [&](SchedulerEnd end) {
+    const auto run = [&](DispatchResult end) {
         const auto refusal = scheduler.submit(request(++id), start);
         BOOST_REQUIRE(!refusal);
         std::string engine = std::get<SchedulerAssignment>(decideOne()).engine;
@@ -157,7 +157,7 @@
         return engine;
     };
     const std::size_t before = scheduler.windowOf("a");
-    for (const std::string &declined : {run(SchedulerEnd::Declined), run(SchedulerEnd::Declined)}) {
+    for (const std::string &declined : {run(DispatchResult::Declined), run(DispatchResult::Declined)}) {
         BOOST_TEST(scheduler.windowOf(declined) < before);
     }
     scheduler.setEngines({});
@@ -166,7 +166,7 @@
     BOOST_REQUIRE(!scheduler.submit(request(100), start));
     decideOne();
     const std::size_t initial = scheduler.windowOf("c");
-    scheduler.onSilent(RequestId{100}, start);
+    scheduler.onStalled(RequestId{100}, start);
     BOOST_TEST(scheduler.windowOf("c") < initial);
     BOOST_TEST(!scheduler.isEjected("c"));
 }
@@ -202,7 +202,7 @@
     scheduler.submit(request(2), start);
     decideOne();
     const std::size_t window = scheduler.windowOf("new");
-    scheduler.onEnded(RequestId{1}, SchedulerEnd::Failed, start);
+    scheduler.onEnded(RequestId{1}, DispatchResult::Failed, start);
     BOOST_TEST(scheduler.windowOf("new") == window);
     BOOST_TEST(scheduler.inFlight() == 1U);
 }
@@ -265,7 +265,7 @@
                 if (const auto *assignment = std::get_if<SchedulerAssignment>(&outcome)) {
                     ++assigned;
                     growing.onFirstToken(assignment->id, std::nullopt, now);
-                    growing.onEnded(assignment->id, SchedulerEnd::Finished, now);
+                    growing.onEnded(assignment->id, DispatchResult::Finished, now);
                 }
             }
         }
--- a/tests/decision/test_retry_budget.cpp
+++ b/tests/decision/test_retry_budget.cpp
@@ -14,7 +14,7 @@
 {
     Reason reason;
     int allowed = 0;
-    while (budget.tryRetry(now, reason)) {
+    while (budget.tryAcquire(now, reason)) {
         ++allowed;
     }
     BOOST_TEST((reason.code == ResultCode::RetryBudgetSpent));
--- a/tests/gateway/test_last_begin_on_older_weights.cpp
+++ b/tests/gateway/test_last_begin_on_older_weights.cpp
@@ -69,7 +69,7 @@
     void finishLast(Duration after)
     {
         scheduler.onFirstToken(RequestId{lastId}, std::nullopt, namedAt + after);
-        scheduler.onEnded(RequestId{lastId}, SchedulerEnd::Finished, namedAt + after);
+        scheduler.onEnded(RequestId{lastId}, DispatchResult::Finished, namedAt + after);
     }
 
     static std::string engineOf(const SchedulerOutcome &outcome)
