--- a/decision/admission_queue.cpp
+++ b/decision/admission_queue.cpp
@@ -10,39 +10,39 @@
 namespace
 {
 
-// A cost above the longest context in use is an error of the estimate; unbounded it would put its team in debt for hours.
-constexpr std::int64_t mostCost = 4'194'304;
+// In tokens. A cost above the longest context in use is an estimation error and would leave the team in debt for hours.
+constexpr std::int64_t maxCost = 4'194'304;
 
-// What part of its longest wait a request may expect when it first comes. The rest is kept for callers that come back when
-// they were told, and for estimates that prove too low: what is let in too eagerly ends as a late refusal.
-constexpr double newcomerPart = 0.7;
+// Fraction of a request's longest wait up to which a new request is admitted. The rest is kept for callers that retry at their
+// reserved time and for estimates that are too low: admitting too much leads to requests that expire while they wait.
+constexpr double newcomerWaitFraction = 0.7;
 
-// Below this part of the longest wait newcomers are let in whatever is reserved: reservations of callers that never
-// return must not leave engines idle.
-constexpr double lowWaterPart = 0.3;
+// Up to this fraction of the longest wait new requests are admitted whatever is reserved: reservations of callers that never
+// retry must not leave engines idle.
+constexpr double lowWatermarkFraction = 0.3;
 
-// What the order of service alone says about a lane's share weighs as much as two seconds of watching it: enough to outweigh
-// one long prompt of another team.
-constexpr double backlogSeconds = 2;
+// Weight of the share derived from the backlog, as seconds of measured service: enough to outweigh one long prompt of another
+// team.
+constexpr double backlogWeightSeconds = 2;
 
-// Over how many seconds of service a lane's share is remembered, as for the rate of the whole model.
-constexpr double shareSeconds = 10;
+// Seconds of service over which measurements of a lane's share decay, the same as for the rate of the model.
+constexpr double shareDecaySeconds = 10;
 
-// A share may lengthen the wait that the backlog promises by this factor at most, which means that half of the service goes to
-// work not seen yet. One or two long prompts at the start of a burst can seem to say more.
-constexpr double mostCorrection = 2;
+// Limits by how much a low measured share lengthens the wait derived from the backlog. 2 means that half of the service goes to
+// requests that arrive later. One or two long prompts at the start of a burst can make the share look lower than that.
+constexpr double maxShareCorrection = 2;
 
-// What competes with a lane is another matter this long after the last request waited.
-constexpr Duration sharesStaleAfter = std::chrono::seconds(10);
+// Measured shares are dropped this long after the queue became empty, since the competing load has changed by then.
+constexpr Duration shareExpiry = std::chrono::seconds(10);
 
-// Returning callers are spaced this much wider than their lane drains. At exactly its pace any error of the estimate adds
-// up in the queue until those who come back when told are refused again; newcomers use what is left over.
-constexpr double reservationSpacing = 1.1;
+// Reserved retries are spaced wider than their lane drains by this factor. Without it estimation errors would accumulate in the
+// queue until callers that retry on time are refused again. New requests use the capacity that is left.
+constexpr double reservationSpacingFactor = 1.1;
 
-// Another host behind the balancer can take the request at once, but the balancer needs a moment to see this one leave.
+// Another host behind the balancer can take the request at once, but the balancer needs a moment to notice that this host drains.
 constexpr Duration drainingRetryAfter = std::chrono::seconds(1);
 
-Duration part(Duration duration, double factor)
+Duration scaled(Duration duration, double factor)
 {
     return fromSeconds(toSeconds(duration) * factor);
 }
@@ -82,7 +82,7 @@
 {
     collectExpired(now);
     QueuedRequest clamped = request;
-    clamped.cost = std::clamp<std::int64_t>(request.cost, 1, mostCost);
+    clamped.cost = std::clamp<std::int64_t>(request.cost, 1, maxCost);
     clamped.deadline = std::min(request.deadline, now + limits_.maxWait);
     Offer offer = assess(clamped, now);
     applyReservations(offer);
@@ -102,9 +102,9 @@
 std::optional<QueuedRequest> AdmissionQueue::next(TimePoint now, const CanDispatch &canDispatch)
 {
     collectExpired(now);
-    for (std::size_t tried = 0; tried < order_.size(); ++tried) {
-        nextModel_ = (nextModel_ + 1) % order_.size();
-        ModelQueue &model = *order_[nextModel_];
+    for (std::size_t tried = 0; tried < modelOrder_.size(); ++tried) {
+        nextModel_ = (nextModel_ + 1) % modelOrder_.size();
+        ModelQueue &model = *modelOrder_[nextModel_];
         if (model.queue.size() == 0) {
             continue;
         }
@@ -114,8 +114,8 @@
         }
         QueueEntry &entry = *model.queue.pop();
         model.estimate.onDispatched(entry.request.cost, now);
-        afterRemoval(model, now);
-        return forget(entry);
+        onRequestRemoved(model, now);
+        return eraseEntry(entry);
     }
     return std::nullopt;
 }
@@ -139,8 +139,8 @@
 
 std::optional<TimePoint> AdmissionQueue::nextDeadline() const
 {
-    // Other calls may have found expired requests first. Told of the next deadline only, the caller would let them wait
-    // for their final answer until then.
+    // Other calls may have collected expired requests already. If only the next deadline were returned, these would wait until
+    // then for their final answer.
     if (!expired_.empty()) {
         return expired_.front().request.deadline;
     }
@@ -156,7 +156,7 @@
     if (found == entries_.end()) {
         return false;
     }
-    takeOut(found->second, now);
+    removeEntry(found->second, now);
     return true;
 }
 
@@ -168,7 +168,7 @@
         if (!matches(entry.request)) {
             continue;
         }
-        removed.push_back(takeOut(entry, now));
+        removed.push_back(removeEntry(entry, now));
     }
     return removed;
 }
@@ -227,30 +227,31 @@
     return entries_.contains(offer.request.id) ? ResultCode::InvalidField : ResultCode::Ok;
 }
 
-// Made for a flood of short requests with distant deadlines, where the expected wait alone would let memory grow. The harm
-// prevented is that one team fills the queue and the others are refused for it. A team may hold as many requests as are
-// still free (a dynamic threshold): one flooding team gets half of the places, two get a third each, and some always stay
-// free for a team that has none.
+// Protects against a flood of short requests with distant deadlines, for which the expected wait alone would let memory grow: one
+// team would fill the queue and requests of the others would be refused. A team may hold as many requests as there are free
+// places (dynamic threshold): one flooding team gets half of the places, two get a third each, and some places always stay free
+// for a team that has none.
 ResultCode AdmissionQueue::checkMemory(const Offer &offer) const
 {
     const std::size_t free = limits_.maxRequests - std::min(limits_.maxRequests, entries_.size());
     return size(offer.request.team) < free ? ResultCode::Ok : ResultCode::Overloaded;
 }
 
-// Made for demand above what the engines do. The harm prevented is work that waits, is given up and then sent again: the
-// caller loses its deadline and can't go elsewhere in time. Newcomers leave room for callers that were told to come now, and
-// those are judged by the order of service alone: a lane that stood still behind one long prompt would turn them away.
+// Protects against demand above the capacity of the engines: requests would wait, expire and be sent again, and their callers
+// would learn too late to try another host in time. New requests leave room for reserved retries that are due. Reserved retries are
+// judged by the backlog alone: after a lane has stalled behind one long prompt, its measured share is so low that they would be refused.
 ResultCode AdmissionQueue::checkWait(const Offer &offer) const
 {
     if (offer.request.deadline <= offer.now) {
         return ResultCode::DeadlineWouldPass;
     }
-    const bool isInTime = (offer.isReserved ? offer.waitByBacklog : offer.wait) <= offer.bound;
-    const bool leavesRoom = offer.waitBehindReserved <= part(offer.bound, newcomerPart) || offer.wait <= part(offer.bound, lowWaterPart);
+    const bool isInTime = (offer.isReserved ? offer.backlogWait : offer.wait) <= offer.waitLimit;
+    const bool leavesRoom =
+        offer.waitBehindReserved <= scaled(offer.waitLimit, newcomerWaitFraction) || offer.wait <= scaled(offer.waitLimit, lowWatermarkFraction);
     if (isInTime && (offer.isReserved || leavesRoom)) {
         return ResultCode::Ok;
     }
-    return offer.bound < limits_.maxWait ? ResultCode::DeadlineWouldPass : ResultCode::QueueFull;
+    return offer.waitLimit < limits_.maxWait ? ResultCode::DeadlineWouldPass : ResultCode::QueueFull;
 }
 
 AdmissionQueue::ModelQueue &AdmissionQueue::modelQueue(ModelId model)
@@ -258,7 +259,7 @@
     const auto [found, isNew] = models_.try_emplace(model, limits_);
     if (isNew) {
         found->second.model = model;
-        order_.push_back(&found->second);
+        modelOrder_.push_back(&found->second);
         for (const auto &[team, weight] : weights_) {
             found->second.queue.setWeight(team, weight);
         }
@@ -266,7 +267,7 @@
     return found->second;
 }
 
-std::uint64_t AdmissionQueue::bookKey(const ModelQueue &model, const QueuedRequest &request)
+std::uint64_t AdmissionQueue::laneKey(const ModelQueue &model, const QueuedRequest &request)
 {
     const auto kind = static_cast<std::uint64_t>(model.queue.laneOf(request.cost));
     return static_cast<std::uint64_t>(request.team) * laneCount + kind;
@@ -274,35 +275,35 @@
 
 void AdmissionQueue::onBlocked(ModelQueue &model, TimePoint now)
 {
-    if (!model.estimate.isBlocked() && now - model.emptiedAt > sharesStaleAfter) {
+    if (!model.estimate.isBlocked() && now - model.emptiedAt > shareExpiry) {
         model.queue.resetShares();
     }
     model.queue.setContended(true);
     model.estimate.onBlocked(now);
 }
 
-Duration AdmissionQueue::waitByBacklog(const Offer &offer, std::int64_t extra)
+Duration AdmissionQueue::backlogWait(const Offer &offer, std::int64_t extra)
 {
     return offer.model.estimate.waitFor(offer.model.queue.tokensAhead(offer.request, extra));
 }
 
-// Two estimates. What waits now, in the order of service, is right at the start of a burst but knows nothing of the work
-// that others will send meanwhile and that goes first because they are within their parts. What share of the service this
-// team's lane had contains that, but only after some seconds. The longer one counts, so that few are let in to expire.
+// Returns the longer of two estimates, so that few requests are admitted that expire later. The backlog is accurate at the start
+// of a burst, but leaves out requests that arrive later and go first because their teams are below their share. The measured
+// share of the lane includes these, but only after some seconds.
 Duration AdmissionQueue::expectedWait(const Offer &offer, std::int64_t extra)
 {
-    const Duration byBacklog = extra == 0 ? offer.waitByBacklog : waitByBacklog(offer, extra);
+    const Duration byBacklog = extra == 0 ? offer.backlogWait : backlogWait(offer, extra);
     const auto toEarn = static_cast<double>(offer.model.queue.tokensToEarn(offer.request, extra));
     if (toEarn <= 0 || byBacklog <= Duration::zero()) {
         return byBacklog;
     }
     const double rate = offer.model.estimate.rate();
-    const double expected = toEarn / (toSeconds(byBacklog) * rate);
-    const double share = offer.model.queue.shareOf(offer.request, expected, backlogSeconds * rate, shareSeconds * rate);
-    return std::clamp(fromSeconds(toEarn / (share * rate)), byBacklog, part(byBacklog, mostCorrection));
+    const double prior = toEarn / (toSeconds(byBacklog) * rate);
+    const double share = offer.model.queue.shareOf(offer.request, prior, backlogWeightSeconds * rate, shareDecaySeconds * rate);
+    return std::clamp(fromSeconds(toEarn / (share * rate)), byBacklog, scaled(byBacklog, maxShareCorrection));
 }
 
-void AdmissionQueue::afterRemoval(ModelQueue &model, TimePoint now)
+void AdmissionQueue::onRequestRemoved(ModelQueue &model, TimePoint now)
 {
     if (model.queue.size() > 0) {
         return;
@@ -315,11 +316,11 @@
 AdmissionQueue::Offer AdmissionQueue::assess(const QueuedRequest &request, TimePoint now)
 {
     ModelQueue &model = modelQueue(request.model);
-    const auto book = model.books.empty() ? model.books.end() : model.books.find(bookKey(model, request));
-    Offer offer{.request = request, .model = model, .book = book == model.books.end() ? nullptr : &book->second, .now = now};
+    const auto book = model.reservationBooks.empty() ? model.reservationBooks.end() : model.reservationBooks.find(laneKey(model, request));
+    Offer offer{.request = request, .model = model, .book = book == model.reservationBooks.end() ? nullptr : &book->second, .now = now};
     offer.model.estimate.advance(now);
-    offer.bound = std::max(request.deadline - now, Duration::zero());
-    offer.waitByBacklog = waitByBacklog(offer, 0);
+    offer.waitLimit = std::max(request.deadline - now, Duration::zero());
+    offer.backlogWait = backlogWait(offer, 0);
     offer.wait = expectedWait(offer, 0);
     offer.waitBehindReserved = offer.wait;
     return offer;
@@ -337,24 +338,24 @@
     }
 }
 
-// How long its team's lane takes for a request: the mean over what waits, which evens out the steps of the rounds, or the
-// step to the next such request if nothing of its kind waits.
+// Time that the lane takes to serve the request: the mean over the queued requests of the lane, which smooths the steps between
+// rounds, or the additional wait of a second such request if none is queued.
 Duration AdmissionQueue::serviceTime(const Offer &offer)
 {
     const std::int64_t ownTokens = offer.model.queue.ownTokensAhead(offer.request);
     if (ownTokens > 0) {
-        return part(offer.wait, static_cast<double>(offer.request.cost) / static_cast<double>(ownTokens));
+        return scaled(offer.wait, static_cast<double>(offer.request.cost) / static_cast<double>(ownTokens));
     }
     return expectedWait(offer, offer.request.cost) - offer.wait;
 }
 
-Duration AdmissionQueue::reserveReturn(const Offer &offer)
+Duration AdmissionQueue::reserveRetry(const Offer &offer)
 {
     const QueuedRequest &request = offer.request;
-    const Duration served = serviceTime(offer);
-    const Duration excess = std::max(offer.wait - part(offer.bound, newcomerPart), Duration::zero());
-    ReservationBook &book = offer.model.books[bookKey(offer.model, request)];
-    return book.reserve(request.fingerprint, request.cost, offer.now + excess, part(served, reservationSpacing), offer.now);
+    const Duration serviceDuration = serviceTime(offer);
+    const Duration excess = std::max(offer.wait - scaled(offer.waitLimit, newcomerWaitFraction), Duration::zero());
+    ReservationBook &book = offer.model.reservationBooks[laneKey(offer.model, request)];
+    return book.reserve(request.fingerprint, request.cost, offer.now + excess, scaled(serviceDuration, reservationSpacingFactor), offer.now);
 }
 
 AdmissionDecision AdmissionQueue::refuse(const Offer &offer, ResultCode code)
@@ -362,7 +363,7 @@
     AdmissionDecision decision{.isAdmitted = false, .expectedWait = offer.wait, .reason = {}, .retryAfter = drainingRetryAfter};
     decision.reason = makeReason(code);
     if (code != ResultCode::Draining && code != ResultCode::InvalidField) {
-        decision.retryAfter = reserveReturn(offer);
+        decision.retryAfter = reserveRetry(offer);
     }
     return decision;
 }
@@ -376,7 +377,7 @@
     return entry;
 }
 
-QueuedRequest AdmissionQueue::forget(QueueEntry &entry)
+QueuedRequest AdmissionQueue::eraseEntry(QueueEntry &entry)
 {
     const QueuedRequest request = entry.request;
     deadlines_.erase(Deadlines::s_iterator_to(entry));
@@ -385,27 +386,27 @@
     return request;
 }
 
-QueuedRequest AdmissionQueue::takeOut(QueueEntry &entry, TimePoint now)
+QueuedRequest AdmissionQueue::removeEntry(QueueEntry &entry, TimePoint now)
 {
     ModelQueue &model = modelQueue(entry.request.model);
     model.queue.erase(entry);
-    afterRemoval(model, now);
-    return forget(entry);
+    onRequestRemoved(model, now);
+    return eraseEntry(entry);
 }
 
 void AdmissionQueue::collectExpired(TimePoint now)
 {
     while (!deadlines_.empty() && deadlines_.begin()->request.deadline <= now) {
-        expired_.push_back(giveUp(*deadlines_.begin(), now));
+        expired_.push_back(expireEntry(*deadlines_.begin(), now));
     }
 }
 
-ExpiredRequest AdmissionQueue::giveUp(QueueEntry &entry, TimePoint now)
+ExpiredRequest AdmissionQueue::expireEntry(QueueEntry &entry, TimePoint now)
 {
-    ExpiredRequest expired{.request = takeOut(entry, now), .reason = {}, .retryAfter = {}};
+    ExpiredRequest expired{.request = removeEntry(entry, now), .reason = {}, .retryAfter = {}};
     Offer offer = assess(expired.request, now);
-    offer.bound = limits_.maxWait;
-    expired.retryAfter = reserveReturn(offer);
+    offer.waitLimit = limits_.maxWait;
+    expired.retryAfter = reserveRetry(offer);
     expired.reason = makeReason(ResultCode::DeadlineWouldPass);
     return expired;
 }
--- a/decision/admission_queue.h
+++ b/decision/admission_queue.h
@@ -16,26 +16,26 @@
 namespace Lovageloft
 {
 
-/// The limits of an admission queue; docs/design/queueing.md gives the reasons at length.
+/// Limits of an admission queue; docs/design/queueing.md explains them.
 struct QueueLimits
 {
-    Duration maxWait = std::chrono::seconds(10); ///< A request that would wait longer is refused, whatever its own deadline.
-    std::size_t maxRequests = 100'000; ///< Bounds memory: about 250 bytes a request, so 25 MB of a host's 256 MB.
-    std::int64_t maxShortCost = 1'000; ///< Tokens up to which work is short: one cache block.
-    std::int64_t quantum = 1'000; ///< Tokens a team gets each round: one cache block, the smallest piece engines work in.
-    double initialRate = 20'000; ///< Tokens a second and model assumed until a backlog has been measured.
+    Duration maxWait = std::chrono::seconds(10); ///< A request expected to wait longer is refused, whatever its deadline.
+    std::size_t maxRequests = 100'000; ///< Limits memory: about 250 bytes per request, so 25 MB of a host's 256 MB.
+    std::int64_t maxShortCost = 1'000; ///< In tokens; costlier requests count as long. One cache block.
+    std::int64_t quantum = 1'000; ///< Tokens credited to a team per round: one cache block, the smallest unit of work of an engine.
+    double initialRate = 20'000; ///< Service rate of a model in tokens per second, assumed until it has been measured under a backlog.
 };
 
-/// The answer to an offered request.
+/// Result of offering a request to the queue.
 struct AdmissionDecision
 {
     bool isAdmitted = false;
-    Duration expectedWait{}; ///< Until an engine gets it; as far as known from what waits now.
-    Reason reason; ///< Why it was refused.
-    Duration retryAfter{}; ///< For refused ones: whole seconds, at least one. A caller that comes back then is served.
+    Duration expectedWait{}; ///< Until the request is dispatched to an engine, estimated from the current backlog.
+    Reason reason; ///< Why the request was refused.
+    Duration retryAfter{}; ///< For a refused request: whole seconds, at least one. A caller that retries then is expected to be served.
 };
 
-/// A request that waited and was given up: its caller is answered at once, with `not_run`.
+/// A request whose deadline passed while it waited. Its caller is answered at once, with `not_run`.
 struct ExpiredRequest
 {
     QueuedRequest request;
@@ -43,65 +43,69 @@
     Duration retryAfter{}; ///< As in AdmissionDecision.
 };
 
-/// Decides which requests wait for an engine, in which order they leave, and which are refused at once.
+/// Decides which requests wait for an engine, in which order they are dispatched, and which are refused at once.
 ///
-/// Made for a host behind which engines are saturated: bursts, teams of unequal demand, prompts of 60,000 tokens beside
-/// questions of 200. Each model has an order of service of its own, so a busy engine of one never holds up another.
-/// The bound is the expected wait and not the length, since 100 short questions wait less than two chapters. Used by one
-/// thread; opens nothing, reads no clock.
+/// Designed for a host whose engines are saturated: bursts, teams of unequal demand, prompts of 60,000 tokens next to
+/// prompts of 200. Each model has its own queue, so that a busy engine of one model never delays requests for another. The
+/// queue is limited by the expected wait instead of its length, since 100 short prompts wait less than two prompts of 60,000
+/// tokens. Not thread-safe; performs no I/O and reads no clock.
 class AdmissionQueue
 {
 public:
-    /// Whether some engine of the request's model has room in its window for it now.
+    /// Returns whether some engine of the request's model has room for it in its window now.
     using CanDispatch = std::function<bool(const QueuedRequest &)>;
 
     explicit AdmissionQueue(const QueueLimits &limits = {});
 
-    /// A team's part relative to the others', for example its configured rate over the mean rate. By default 1, range [0.01, 100].
+    /// Sets a team's weight relative to other teams, for example its configured rate divided by the mean rate. 1 by default, clamped
+    /// to [0.01, 100].
     void setWeight(TeamId team, double weight);
 
-    /// Tells that a model's engines can do `factor` times what they did, as (engines now) / (engines before); above 0.
+    /// Scales the service rate of a model after its engines changed. `factor` is (engines now) / (engines before) and must be above 0.
     void scaleCapacity(ModelId model, double factor);
 
-    /// Lets a request wait or refuses it: Draining, InvalidField (the id waits already), Overloaded (no memory), QueueFull
-    /// (longer than the queue's longest wait) or DeadlineWouldPass. Its deadline is brought forward to the longest wait.
+    /// Queues a request, or refuses it with Draining, InvalidField (the id is queued already), Overloaded (the team has too many
+    /// queued requests), QueueFull (expected wait too close to QueueLimits::maxWait) or DeadlineWouldPass. A deadline further away
+    /// than QueueLimits::maxWait is brought forward to it.
     AdmissionDecision offer(const QueuedRequest &request, TimePoint now);
 
-    /// The request that goes to an engine now; nothing if each model's next request is refused by `canDispatch` or none
-    /// waits. Never one whose deadline has passed. Call it until it returns nothing whenever a window opens (a first token
-    /// or an end) or a request was admitted: a refused `canDispatch` is also how the queue learns that engines are saturated.
+    /// Removes and returns the request to dispatch now; nothing if none waits or `canDispatch` returns false for the next
+    /// request of every model. Never returns a request whose deadline has passed. Call it until it returns nothing whenever an
+    /// engine window opens (first token or end of a request) or a request was admitted: `canDispatch` returning false also tells
+    /// the queue that the engines are saturated.
     std::optional<QueuedRequest> next(TimePoint now, const CanDispatch &canDispatch);
 
-    /// Puts back a request from `next` that reached no engine. It is served first among its like and its team pays once.
+    /// Queues a request from `next` again that reached no engine. It goes to the front of its lane and priority, and its team is
+    /// charged only once.
     void requeue(const QueuedRequest &request, TimePoint now);
 
-    /// Takes out all requests whose deadline has passed.
+    /// Removes and returns all requests whose deadline has passed.
     std::vector<ExpiredRequest> expire(TimePoint now);
 
-    /// When `expire` has something to do next, in the past if it has already; nothing if no request is here.
+    /// When to call `expire` next, in the past if requests have expired already; nothing if no request waits.
     std::optional<TimePoint> nextDeadline() const;
 
-    /// Takes out a request whose caller has gone; false if it doesn't wait.
+    /// Removes a request whose caller disconnected; false if it is not queued.
     bool cancel(RequestId id, TimePoint now);
 
-    /// Takes out and returns all requests that match, as when a team or model leaves service. Walks over the whole queue.
+    /// Removes and returns all matching requests, for example after a team or model was removed. Linear in the size of the queue.
     std::vector<QueuedRequest> removeIf(const std::function<bool(const QueuedRequest &)> &matches, TimePoint now);
 
-    /// Takes out and returns what came with a key that has been withdrawn.
+    /// Removes and returns all requests that were sent with a withdrawn key.
     std::vector<QueuedRequest> removeByKey(TeamId team, KeyId key, TimePoint now);
 
-    /// Refuses all offers from now on; what waits is still served.
+    /// Refuses all offers from now on; queued requests are still served.
     void drain();
 
     std::size_t size() const;
 
-    /// Requests of a team that wait, over all models.
+    /// Queued requests of a team over all models.
     std::size_t size(TeamId team) const;
 
-    /// Tokens that wait for a model.
+    /// Queued tokens of a model.
     std::int64_t backlog(ModelId model) const;
 
-    /// The measured rate of a model's engines as seen from this host, in tokens a second.
+    /// Rate at which this host dispatches requests to a model's engines, measured while all were busy, in tokens per second.
     double serviceRate(ModelId model) const;
 
 private:
@@ -122,22 +126,22 @@
         ModelId model{};
         FairQueue queue;
         WaitEstimate estimate;
-        std::unordered_map<std::uint64_t, ReservationBook> books; ///< By team and lane; only of those that were refused.
+        std::unordered_map<std::uint64_t, ReservationBook> reservationBooks; ///< By laneKey; only lanes of which requests were refused.
         TimePoint emptiedAt;
     };
 
-    /// What the checks look at.
+    /// Input of the admission checks.
     struct Offer
     {
         const QueuedRequest &request;
         ModelQueue &model;
-        ReservationBook *book = nullptr; ///< Null if nobody of its team and lane was refused.
+        ReservationBook *book = nullptr; ///< Null if no request of the same team and lane was refused.
         TimePoint now;
-        Duration bound{}; ///< The longest wait this request may have.
-        Duration waitByBacklog{}; ///< The wait expected from the order of service alone.
-        Duration wait{}; ///< The wait expected.
-        Duration waitBehindReserved{}; ///< The same if all callers whose reserved time has come were in the queue too.
-        bool isReserved = false; ///< Came back at the time it was told.
+        Duration waitLimit{}; ///< Longest wait that this request may have.
+        Duration backlogWait{}; ///< Expected wait based on queued requests only.
+        Duration wait{}; ///< Expected wait based on queued requests and on the measured share of the lane.
+        Duration waitBehindReserved{}; ///< Like `wait`, as if all requests with a due reservation were queued too.
+        bool isReserved = false; ///< Whether the caller retried at its reserved time.
     };
 
     using Check = ResultCode (AdmissionQueue::*)(const Offer &) const;
@@ -149,28 +153,28 @@
     ResultCode checkWait(const Offer &offer) const;
 
     ModelQueue &modelQueue(ModelId model);
-    static std::uint64_t bookKey(const ModelQueue &model, const QueuedRequest &request);
+    static std::uint64_t laneKey(const ModelQueue &model, const QueuedRequest &request);
     static void onBlocked(ModelQueue &model, TimePoint now);
-    static void afterRemoval(ModelQueue &model, TimePoint now);
-    static Duration waitByBacklog(const Offer &offer, std::int64_t extra);
+    static void onRequestRemoved(ModelQueue &model, TimePoint now);
+    static Duration backlogWait(const Offer &offer, std::int64_t extra);
     static Duration expectedWait(const Offer &offer, std::int64_t extra);
     Offer assess(const QueuedRequest &request, TimePoint now);
     static void applyReservations(Offer &offer);
     static Duration serviceTime(const Offer &offer);
-    static Duration reserveReturn(const Offer &offer);
+    static Duration reserveRetry(const Offer &offer);
     static AdmissionDecision refuse(const Offer &offer, ResultCode code);
     QueueEntry &insert(const QueuedRequest &request);
-    QueuedRequest forget(QueueEntry &entry);
-    QueuedRequest takeOut(QueueEntry &entry, TimePoint now);
+    QueuedRequest eraseEntry(QueueEntry &entry);
+    QueuedRequest removeEntry(QueueEntry &entry, TimePoint now);
     void collectExpired(TimePoint now);
-    ExpiredRequest giveUp(QueueEntry &entry, TimePoint now);
+    ExpiredRequest expireEntry(QueueEntry &entry, TimePoint now);
 
     QueueLimits limits_;
     bool isDraining_ = false;
-    std::unordered_map<RequestId, QueueEntry> entries_; ///< Before what links them, so that it outlives the links.
+    std::unordered_map<RequestId, QueueEntry> entries_; ///< Declared before the containers that link the entries, so that it is destroyed after them.
     Deadlines deadlines_;
     std::unordered_map<ModelId, ModelQueue> models_;
-    std::vector<ModelQueue *> order_; ///< Models in the order of creation; `next` begins with another one each time.
+    std::vector<ModelQueue *> modelOrder_; ///< Models in order of creation; `next` visits them round robin.
     std::size_t nextModel_ = 0;
     std::unordered_map<TeamId, std::size_t> teamSizes_;
     std::unordered_map<TeamId, double> weights_;
--- a/decision/dispatch_table.cpp
+++ b/decision/dispatch_table.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/// An id is a serial number and, in its lower bits, the slot.
+/// An id consists of a serial number and, in the lower bits, the index of the slot.
 constexpr std::uint32_t slotBits = 32;
 constexpr std::uint64_t slotMask = (std::uint64_t{1} << slotBits) - 1;
 
--- a/decision/dispatch_table.h
+++ b/decision/dispatch_table.h
@@ -9,7 +9,7 @@
 namespace Lovageloft
 {
 
-/// Names a dispatched request until it has finished or failed.
+/// Identifies a dispatched request until it has ended.
 using DispatchId = std::uint64_t;
 
 /// A request that was sent to an engine and has not ended.
@@ -17,26 +17,27 @@
 {
     DispatchId id = 0;
     EngineIndex engine = 0;
-    std::uint32_t epoch = 0; ///< Of the engine: tells it from an earlier one that had the same index.
+    std::uint32_t epoch = 0; ///< Epoch of the engine; distinguishes it from an earlier engine with the same index.
     TimePoint sentAt = {};
     TimePoint firstTokenAt = {};
-    double usualFirstToken = 0; ///< Seconds from `sentAt` in which the first token was expected, were the engine not slow.
+    double usualFirstToken = 0; ///< Expected seconds from `sentAt` to the first token at the engine's normal speed.
     std::uint32_t expectedCachedTokens = 0;
-    bool isAnswered = false; ///< Its first token has come.
+    bool isAnswered = false; ///< Whether the first token has arrived.
 };
 
-/// The requests of this host that are at engines. Ids are not used again, so that a late event of a request that has ended finds
-/// nothing.
+/// Requests of this host that are in flight at engines. Ids are not reused, so that a late event of an ended request is not
+/// attributed to another one.
 class DispatchTable
 {
 public:
-    /// Adds a request and gives it its id.
+    /// Adds a request and returns its new id.
     DispatchId open(const Dispatch &dispatch);
 
-    /// Null if the request has ended or never was.
+    /// Null if the request has ended or never existed.
     Dispatch *find(DispatchId id);
     const Dispatch *find(DispatchId id) const;
 
+    /// Removes a request; unknown ids are ignored.
     void close(DispatchId id);
 
 private:
--- a/decision/fair_queue.cpp
+++ b/decision/fair_queue.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-constexpr double leastWeight = 0.01;
-constexpr double mostWeight = 100;
+constexpr double minWeight = 0.01;
+constexpr double maxWeight = 100;
 
 } // namespace
 
@@ -36,8 +36,8 @@
 
 void FairQueue::setWeight(TeamId team, double weight)
 {
-    const double tokens = static_cast<double>(quantum_) * std::clamp(weight, leastWeight, mostWeight);
-    figures_[flowOf(team).index].quantum = std::max<std::int64_t>(2, std::llround(tokens));
+    const double tokens = static_cast<double>(quantum_) * std::clamp(weight, minWeight, maxWeight);
+    flowCounters_[flowFor(team).index].quantum = std::max<std::int64_t>(2, std::llround(tokens));
 }
 
 LaneKind FairQueue::laneOf(std::int64_t cost) const
@@ -48,7 +48,7 @@
 void FairQueue::push(QueueEntry &entry)
 {
     Lane &lane = laneFor(entry.request);
-    lane.isFresh = lane.isFresh || !lane.flow->is_linked();
+    lane.wasIdle = lane.wasIdle || !lane.flow->is_linked();
     lane.queues[static_cast<std::size_t>(entry.request.priority)].push_back(entry);
     add(lane, entry);
 }
@@ -56,7 +56,7 @@
 void FairQueue::requeue(QueueEntry &entry)
 {
     Lane &lane = laneFor(entry.request);
-    figuresOf(lane).account += entry.request.cost;
+    countersOf(lane).credit += entry.request.cost;
     lane.queues[static_cast<std::size_t>(entry.request.priority)].push_front(entry);
     add(lane, entry);
 }
@@ -65,7 +65,7 @@
 {
     Lane &lane = laneFor(entry.request);
     remove(lane, entry);
-    refresh(lane);
+    updateLane(lane);
 }
 
 const QueueEntry *FairQueue::peek()
@@ -84,15 +84,15 @@
     auto &ready = ready_[static_cast<std::size_t>(lane->kind)];
     ready.erase(ready.iterator_to(*lane));
     remove(*lane, entry);
-    figuresOf(*lane).account -= entry.request.cost;
-    lane->isFresh = false;
+    countersOf(*lane).credit -= entry.request.cost;
+    lane->wasIdle = false;
     if (lane->kind == LaneKind::Long) {
-        oweShortWork(entry.request.cost);
+        interleaveShortWork(entry.request.cost);
     } else {
-        shortOwed_ -= entry.request.cost;
+        shortTokensBeforeLong_ -= entry.request.cost;
     }
-    served_ += isContended_ ? static_cast<double>(entry.request.cost) : 0;
-    refresh(*lane);
+    contendedTokens_ += isContended_ ? static_cast<double>(entry.request.cost) : 0;
+    updateLane(*lane);
     return &entry;
 }
 
@@ -101,16 +101,16 @@
     const LaneKind kind = laneOf(request.cost);
     const Lane *lane = findLane(request);
     const std::int64_t ownAhead = extra + ownTokensAhead(request);
-    const std::int64_t account = lane ? figuresOf(*lane).account : 0;
-    if (account >= ownAhead) {
+    const std::int64_t credit = lane ? countersOf(*lane).credit : 0;
+    if (credit >= ownAhead) {
         const std::int64_t ready = readyTokens(LaneKind::Short) + (kind == LaneKind::Long ? readyTokens(LaneKind::Long) : 0);
-        return ownAhead + ready - (lane ? figuresOf(*lane).servedAfter(0) : 0);
+        return ownAhead + ready - (lane ? countersOf(*lane).servedAfter(0) : 0);
     }
-    const FlowFigures newcomer{.quantum = quantum_, .lanes = {}};
-    const FlowFigures &own = lane ? figures_[lane->flow->index] : newcomer;
-    const std::int64_t rounds = own.roundsUntil(kind, ownAhead - account);
+    const FlowCounters newcomer{.quantum = quantum_, .lanes = {}};
+    const FlowCounters &own = lane ? flowCounters_[lane->flow->index] : newcomer;
+    const std::int64_t rounds = own.roundsUntil(kind, ownAhead - credit);
     std::int64_t total = ownAhead;
-    for (const FlowFigures &flow : figures_) {
+    for (const FlowCounters &flow : flowCounters_) {
         const auto served = flow.servedWithin(rounds);
         total += served[0] + served[1];
     }
@@ -130,13 +130,13 @@
 std::int64_t FairQueue::tokensToEarn(const QueuedRequest &request, std::int64_t extra) const
 {
     const Lane *lane = findLane(request);
-    const std::int64_t account = lane ? figuresOf(*lane).account : 0;
-    return std::max<std::int64_t>(0, extra + ownTokensAhead(request) - account);
+    const std::int64_t credit = lane ? countersOf(*lane).credit : 0;
+    return std::max<std::int64_t>(0, extra + ownTokensAhead(request) - credit);
 }
 
-double FairQueue::shareOf(const QueuedRequest &request, double expected, double tokens, double memory)
+double FairQueue::shareOf(const QueuedRequest &request, double prior, double priorTokens, double decayTokens)
 {
-    return laneFor(request).share.share(expected, tokens, served_, memory);
+    return laneFor(request).share.share(prior, priorTokens, contendedTokens_, decayTokens);
 }
 
 void FairQueue::setContended(bool isContended)
@@ -159,15 +159,15 @@
     return backlogs_[0] + backlogs_[1];
 }
 
-FairQueue::Flow &FairQueue::flowOf(TeamId team)
+FairQueue::Flow &FairQueue::flowFor(TeamId team)
 {
     const auto [found, isNew] = flows_.try_emplace(team);
     Flow &flow = found->second;
     if (!isNew) {
         return flow;
     }
-    flow.index = figures_.size();
-    figures_.push_back({.quantum = quantum_, .lanes = {}});
+    flow.index = flowCounters_.size();
+    flowCounters_.push_back({.quantum = quantum_, .lanes = {}});
     for (const LaneKind kind : {LaneKind::Short, LaneKind::Long}) {
         Lane &lane = flow.lanes[static_cast<std::size_t>(kind)];
         lane.flow = &flow;
@@ -178,7 +178,7 @@
 
 FairQueue::Lane &FairQueue::laneFor(const QueuedRequest &request)
 {
-    return flowOf(request.team).lanes[static_cast<std::size_t>(laneOf(request.cost))];
+    return flowFor(request.team).lanes[static_cast<std::size_t>(laneOf(request.cost))];
 }
 
 const FairQueue::Lane *FairQueue::findLane(const QueuedRequest &request) const
@@ -187,26 +187,26 @@
     return found == flows_.end() ? nullptr : &found->second.lanes[static_cast<std::size_t>(laneOf(request.cost))];
 }
 
-FairQueue::LaneFigures &FairQueue::figuresOf(const Lane &lane)
+FairQueue::LaneCounters &FairQueue::countersOf(const Lane &lane)
 {
-    return figures_[lane.flow->index].lanes[static_cast<std::size_t>(lane.kind)];
+    return flowCounters_[lane.flow->index].lanes[static_cast<std::size_t>(lane.kind)];
 }
 
-const FairQueue::LaneFigures &FairQueue::figuresOf(const Lane &lane) const
+const FairQueue::LaneCounters &FairQueue::countersOf(const Lane &lane) const
 {
-    return figures_[lane.flow->index].lanes[static_cast<std::size_t>(lane.kind)];
+    return flowCounters_[lane.flow->index].lanes[static_cast<std::size_t>(lane.kind)];
 }
 
-std::int64_t FairQueue::roundsUntil(std::int64_t account, std::int64_t quantum)
+std::int64_t FairQueue::roundsUntil(std::int64_t credit, std::int64_t quantum)
 {
-    return account >= 0 ? 0 : (-account + quantum - 1) / quantum;
+    return credit >= 0 ? 0 : (-credit + quantum - 1) / quantum;
 }
 
 std::int64_t FairQueue::readyTokens(LaneKind kind) const
 {
     std::int64_t total = 0;
     for (const Lane &lane : ready_[static_cast<std::size_t>(kind)]) {
-        total += figuresOf(lane).servedAfter(0);
+        total += countersOf(lane).servedAfter(0);
     }
     return total;
 }
@@ -214,10 +214,10 @@
 void FairQueue::add(Lane &lane, QueueEntry &entry)
 {
     lane.tokens[static_cast<std::size_t>(entry.request.priority)] += entry.request.cost;
-    figuresOf(lane).backlog += entry.request.cost;
+    countersOf(lane).backlog += entry.request.cost;
     backlogs_[static_cast<std::size_t>(lane.kind)] += entry.request.cost;
     ++size_;
-    refresh(lane);
+    updateLane(lane);
 }
 
 void FairQueue::remove(Lane &lane, QueueEntry &entry)
@@ -225,43 +225,43 @@
     const auto priority = static_cast<std::size_t>(entry.request.priority);
     lane.queues[priority].erase(Queue::s_iterator_to(entry));
     lane.tokens[priority] -= entry.request.cost;
-    figuresOf(lane).backlog -= entry.request.cost;
+    countersOf(lane).backlog -= entry.request.cost;
     backlogs_[static_cast<std::size_t>(lane.kind)] -= entry.request.cost;
     --size_;
 }
 
-void FairQueue::refresh(Lane &lane)
+void FairQueue::updateLane(Lane &lane)
 {
-    LaneFigures &figures = figuresOf(lane);
-    figures.headCost = figures.backlog > 0 ? headOf(lane).request.cost : 0;
-    if (figures.backlog == 0) {
-        // Nothing is saved up while idle: a team that was quiet all weekend would otherwise shut out all others on Monday.
-        figures.account = std::min<std::int64_t>(figures.account, 0);
+    LaneCounters &counters = countersOf(lane);
+    counters.headCost = counters.backlog > 0 ? headOf(lane).request.cost : 0;
+    if (counters.backlog == 0) {
+        // An idle lane accumulates no credit: a team that was idle for a weekend would otherwise block all others on Monday.
+        counters.credit = std::min<std::int64_t>(counters.credit, 0);
     }
     auto &ready = ready_[static_cast<std::size_t>(lane.kind)];
-    const bool isReady = figures.backlog > 0 && figures.account >= 0;
+    const bool isReady = counters.backlog > 0 && counters.credit >= 0;
     if (isReady && !lane.is_linked()) {
         ready.push_back(lane);
     } else if (!isReady && lane.is_linked()) {
         ready.erase(ready.iterator_to(lane));
     }
-    refreshShare(lane);
-    refreshRound(*lane.flow);
+    updateShare(lane);
+    updateRound(*lane.flow);
 }
 
-void FairQueue::refreshShare(Lane &lane)
+void FairQueue::updateShare(Lane &lane)
 {
-    const bool isNeeding = figuresOf(lane).needsTokens();
-    if (isNeeding && !lane.share.isActive()) {
-        lane.share.begin(served_, shareEpoch_);
-    } else if (!isNeeding && lane.share.isActive()) {
-        lane.share.end(served_);
+    const bool hasDemand = countersOf(lane).needsTokens();
+    if (hasDemand && !lane.share.isActive()) {
+        lane.share.begin(contendedTokens_, shareEpoch_);
+    } else if (!hasDemand && lane.share.isActive()) {
+        lane.share.end(contendedTokens_);
     }
 }
 
-void FairQueue::refreshRound(Flow &flow)
+void FairQueue::updateRound(Flow &flow)
 {
-    const bool isActive = std::ranges::any_of(figures_[flow.index].lanes, &LaneFigures::needsTokens);
+    const bool isActive = std::ranges::any_of(flowCounters_[flow.index].lanes, &LaneCounters::needsTokens);
     if (isActive && !flow.is_linked()) {
         round_.push_back(flow);
     } else if (!isActive && flow.is_linked()) {
@@ -278,8 +278,8 @@
 FairQueue::Lane *FairQueue::findReady()
 {
     while (size_ > 0) {
-        // One team is topped up at a time, and only when no lane is ready: a team that has just become active then waits
-        // for what is ready now and not for a whole round.
+        // Credits one team at a time, and only while no lane is ready. A team that has just become active then waits only for the
+        // lanes that are ready now instead of for a whole round.
         for (std::size_t visits = 0; visits <= round_.size(); ++visits) {
             if (Lane *lane = readyLane()) {
                 return lane;
@@ -299,44 +299,45 @@
         return &shortLanes.front();
     }
     const bool hasShortWork = backlogs_[static_cast<std::size_t>(LaneKind::Short)] > 0;
-    if (longLanes.empty() || shortOwed_ <= 0 || !hasShortWork) {
+    if (longLanes.empty() || shortTokensBeforeLong_ <= 0 || !hasShortWork) {
         return longLanes.empty() ? nullptr : &longLanes.front();
     }
-    // A team that was idle is not made to wait for short work of those that are beyond their parts, and none longer than
-    // until it has earned the whole cost.
+    // A team that was idle does not wait for short requests of teams above their share, and no long request waits longer than until
+    // its lane has credit for its whole cost.
     const auto next = std::ranges::find_if(longLanes, [this](const Lane &lane) {
-        const LaneFigures &figures = figuresOf(lane);
-        return lane.isFresh || figures.account >= figures.headCost;
+        const LaneCounters &counters = countersOf(lane);
+        return lane.wasIdle || counters.credit >= counters.headCost;
     });
     return next == longLanes.end() ? nullptr : &*next;
 }
 
-// Made for several teams whose long prompts come to their turn in the same round. The harm prevented is that they are served one
-// behind the other and hold all engines for many seconds in which no short work gets a token. After a long request the short
-// lanes get what they earn while the long ones earn its cost; the parts of the teams stay as they are, only the order changes.
-void FairQueue::oweShortWork(std::int64_t cost)
+// Interleaves long requests with short ones. If long prompts of several teams are due in the same round, dispatching them back to
+// back would occupy all engines for many seconds in which no short request is served. After a long request, short lanes are
+// therefore served as many tokens as they are credited while the long lanes are credited the cost of that request. Only the order
+// changes; the share of each team stays the same.
+void FairQueue::interleaveShortWork(std::int64_t cost)
 {
     double shortQuanta = 0;
     double longQuanta = 1;
-    for (const FlowFigures &flow : figures_) {
+    for (const FlowCounters &flow : flowCounters_) {
         shortQuanta += flow.lanes[0].backlog > 0 ? static_cast<double>(flow.quantumOf(LaneKind::Short)) : 0;
         longQuanta += flow.lanes[1].needsTokens() ? static_cast<double>(flow.quantumOf(LaneKind::Long)) : 0;
     }
-    shortOwed_ = std::llround(static_cast<double>(cost) * shortQuanta / longQuanta);
+    shortTokensBeforeLong_ = std::llround(static_cast<double>(cost) * shortQuanta / longQuanta);
 }
 
-void FairQueue::topUp(Flow &flow, std::int64_t rounds)
+void FairQueue::creditQuanta(Flow &flow, std::int64_t rounds)
 {
-    FlowFigures &figures = figures_[flow.index];
-    const std::array<std::int64_t, laneCount> quanta = {figures.quantumOf(LaneKind::Short), figures.quantumOf(LaneKind::Long)};
+    FlowCounters &counters = flowCounters_[flow.index];
+    const std::array<std::int64_t, laneCount> quanta = {counters.quantumOf(LaneKind::Short), counters.quantumOf(LaneKind::Long)};
     for (std::size_t index = 0; index < laneCount; ++index) {
-        LaneFigures &lane = figures.lanes[index];
+        LaneCounters &lane = counters.lanes[index];
         const std::int64_t earned = lane.needsTokens() ? rounds * quanta[index] : 0;
-        lane.account += earned;
+        lane.credit += earned;
         flow.lanes[index].share.onEarned(isContended_ ? earned : 0);
     }
     for (Lane &lane : flow.lanes) {
-        refresh(lane);
+        updateLane(lane);
     }
 }
 
@@ -347,18 +348,18 @@
     }
     Flow &flow = round_.front();
     round_.splice(round_.end(), round_, round_.begin());
-    topUp(flow, 1);
+    creditQuanta(flow, 1);
 }
 
 void FairQueue::skipRounds()
 {
-    // All that have work are in debt after a long request each. Paying back in single rounds would cost many walks over
-    // all teams for one decision, so the rounds that help nobody are paid at once.
+    // Every lane with queued requests has negative credit after a long request. Crediting single rounds would iterate over all teams
+    // many times for one decision, so rounds after which still no lane is ready are credited at once.
     std::int64_t rounds = std::numeric_limits<std::int64_t>::max();
-    for (const FlowFigures &flow : figures_) {
+    for (const FlowCounters &flow : flowCounters_) {
         for (const LaneKind kind : {LaneKind::Short, LaneKind::Long}) {
-            const LaneFigures &lane = flow.lanes[static_cast<std::size_t>(kind)];
-            rounds = lane.backlog > 0 ? std::min(rounds, roundsUntil(lane.account, flow.quantumOf(kind))) : rounds;
+            const LaneCounters &lane = flow.lanes[static_cast<std::size_t>(kind)];
+            rounds = lane.backlog > 0 ? std::min(rounds, roundsUntil(lane.credit, flow.quantumOf(kind))) : rounds;
         }
     }
     if (size_ == 0 || rounds <= 1) {
@@ -366,7 +367,7 @@
     }
     for (auto next = round_.begin(); next != round_.end();) {
         Flow &flow = *next++;
-        topUp(flow, rounds - 1);
+        creditQuanta(flow, rounds - 1);
     }
 }
 
--- a/decision/id_table.h
+++ b/decision/id_table.h
@@ -9,13 +9,13 @@
 namespace Lovageloft
 {
 
-/// Gives out small ids for names (teams, keys, models) that come from the configuration, so that decisions
-/// compare numbers. Ids are dense, begin at 0 and are never taken back: feed it no name that a caller invents.
+/// Maps names from the configuration (teams, keys, models) to small ids, so that comparisons are cheap. Ids are dense, start at 0 and
+/// are never freed: don't add names chosen by callers, which would let memory grow without limit.
 template <typename Id>
 class IdTable
 {
 public:
-    /// The id of a name, a new one if the name was not seen before.
+    /// Returns the id of a name; a new name gets a new id.
     Id idOf(std::string_view name)
     {
         const auto found = ids_.find(name);
@@ -28,14 +28,14 @@
         return id;
     }
 
-    /// The name of an id that this table gave out.
+    /// Returns the name of an id from this table.
     std::string_view nameOf(Id id) const
     {
         return names_.at(static_cast<std::size_t>(id));
     }
 
 private:
-    std::deque<std::string> names_; ///< A deque, since the map's views point into its strings.
+    std::deque<std::string> names_; ///< A deque keeps the strings in place, since the map's views point into them.
     std::unordered_map<std::string_view, Id> ids_;
 };
 
--- a/decision/prompt_parts.h
+++ b/decision/prompt_parts.h
@@ -9,20 +9,20 @@
 namespace Lovageloft
 {
 
-/// A part of a prompt that other requests may share, named by the caller instead of being read from the text.
+/// A part of a prompt that other requests may share, identified by a hash from the caller instead of by its text.
 struct PromptPart
 {
     std::uint64_t hash = 0;
     std::uint32_t tokens = 0;
 };
 
-/// Tokens in one block of named parts. Fine enough that two short parts of some hundred tokens, which a classification shares, make a
-/// whole block; with blocks of 1,024 tokens engines computed them anew for each request.
+/// Tokens per block of prompt parts. Small enough that two short parts of some hundred tokens, as shared by classification requests,
+/// fill a whole block. With blocks of 1,024 tokens engines recomputed such parts for each request.
 inline constexpr std::uint32_t partBlockTokens = 256;
 
-/// Replaces `digests` by those of the whole blocks that the parts make up, as digestBlocks does from a text. A block that lies on
-/// the border of two parts takes the later one's name: it is shared only by prompts that share both. Give it only what other
-/// prompts may share: the place where a prompt belongs is found by its last blocks, and by a part of its own it would be any.
+/// Replaces `digests` by the digests of the full blocks in `parts`, as digestBlocks does for a text. A block across the border of
+/// two parts is derived from the later part, so that only prompts with both parts share it. Pass only parts that other prompts may
+/// share: placement hashes the last blocks of a prompt, and with a part unique to one prompt it would choose an arbitrary engine.
 void digestParts(std::span<const PromptPart> parts, std::vector<BlockHash> &digests);
 
 } // namespace Lovageloft
--- a/decision/queued_request.h
+++ b/decision/queued_request.h
@@ -4,7 +4,7 @@
 
 #include "core/clock.h"
 
-/// What the queue keeps of a request: ids and small figures, never the body.
+/// Identifiers and metadata of a request that waits in a queue, without its body.
 namespace Lovageloft
 {
 
@@ -24,7 +24,7 @@
 {
 };
 
-/// The caller's wish for the order within its own team. It has no effect on other teams.
+/// Priority chosen by the caller. Orders requests of one team only and has no effect on other teams.
 enum class Priority : std::uint8_t
 {
     High,
@@ -34,7 +34,7 @@
 
 constexpr std::size_t priorityCount = 3;
 
-/// A request that waits for an engine. IdTable gives out the ids.
+/// A request that waits for an engine. The ids of team, key and model come from IdTable.
 struct QueuedRequest
 {
     RequestId id{}; ///< Unique within the host.
@@ -42,10 +42,10 @@
     KeyId key{};
     ModelId model{};
     Priority priority = Priority::Normal;
-    std::int64_t cost = 1; ///< Tokens: the estimate of prompt tokens not cached plus output; clamped to [1, 4,194,304].
-    TimePoint deadline; ///< The request must be handed to an engine before this.
-    std::uint64_t fingerprint = 0; ///< Digest of key and body, by which a retry is known; 0: not known.
-    bool isRetry = false; ///< Whether the caller says that it was refused before, by this or another host.
+    std::int64_t cost = 1; ///< Estimated prompt tokens that are not cached plus output tokens; clamped to [1, 4,194,304].
+    TimePoint deadline; ///< The request must be dispatched to an engine before this time.
+    std::uint64_t fingerprint = 0; ///< Digest of key and body that identifies a retry; 0 if unknown.
+    bool isRetry = false; ///< Whether the caller states that this or another host refused it before.
 };
 
 } // namespace Lovageloft
--- a/decision/request_scheduler.cpp
+++ b/decision/request_scheduler.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-/// When to come back after a refusal that no queue can time: an engine's restart or reload takes about that long.
-constexpr std::chrono::seconds noTargetRetry{1};
-/// When a burst of failures no longer fills the budget's window.
-constexpr std::chrono::seconds retryBudgetRetry{2};
+/// Retry-After if no engine serves the model: about the time that an engine takes to restart or reload.
+constexpr std::chrono::seconds noTargetRetryAfter{1};
+/// Retry-After if the retry budget is spent: about when a burst of failures no longer fills the budget's window.
+constexpr std::chrono::seconds retryBudgetRetryAfter{2};
 
 } // namespace
 
@@ -57,7 +57,7 @@
         if (known != engines_.end()) {
             entry = known->second;
         } else {
-            entry.serial = ++lastSerial_;
+            entry.generation = ++lastGeneration_;
         }
         if (entry.incarnation != 0 && engine.incarnation != 0 && engine.incarnation != entry.incarnation) {
             entry.window.reset();
@@ -70,14 +70,15 @@
     engines_ = std::move(kept);
 }
 
-/// Tells the queue how much faster or slower each model is served now: with its old rate it would admit what then expires.
-void RequestScheduler::scaleQueues(const std::map<EngineIndex, Engine> &after)
+/// Scales the service rate of each model to the new number of serving engines. With the old rate the queue would admit requests that
+/// expire later.
+void RequestScheduler::scaleQueues(const std::map<EngineIndex, Engine> &updated)
 {
     std::map<ModelId, std::pair<double, double>> counts;
     for (const auto &[index, engine] : engines_) {
         counts[engine.model].first += engine.isServing ? 1 : 0;
     }
-    for (const auto &[index, engine] : after) {
+    for (const auto &[index, engine] : updated) {
         counts[engine.model].second += engine.isServing ? 1 : 0;
     }
     for (const auto &[model, count] : counts) {
@@ -128,7 +129,7 @@
 
 RetryBudget &RequestScheduler::budgetOf(ModelId model)
 {
-    RetryBudget &budget = retries_[model];
+    RetryBudget &budget = retryBudgets_[model];
     budget.setLimits(retryLimits_);
     return budget;
 }
@@ -141,13 +142,13 @@
         return std::nullopt;
     }
     if (request.isResume) {
-        // A stream that has begun is carried on whatever the budget says: it would be cut otherwise, and there are no more of them
-        // than were running when the engine failed.
+        // A stream that has begun is resumed without using the budget: it would be cut off otherwise, and there are at most as many
+        // such streams as were running when the engine failed.
         return std::nullopt;
     }
     Reason reason;
     if (request.reachedTarget && !budget.tryAcquire(now, reason)) {
-        return refuse(request.id, reason, retryBudgetRetry);
+        return refuse(request.id, reason, retryBudgetRetryAfter);
     }
     return std::nullopt;
 }
@@ -191,7 +192,7 @@
     queue_.drain();
 }
 
-/// Whether a request can leave its queue now: to an engine, or because no engine will ever do.
+/// Whether a request can leave its queue now, either to an engine or to be refused because no engine will be able to serve it.
 bool RequestScheduler::choose(const QueuedRequest &queued, TimePoint now, Random &random, Choice &choice)
 {
     choice = {};
@@ -210,7 +211,7 @@
     if (choice.engine) {
         return true;
     }
-    // Busy engines are worth a wait, but not for a request that has failed on the others already.
+    // Waits for busy engines, except with a retry: the request has failed at other engines already.
     return choice.reason.code != ResultCode::Overloaded || !request.failedEngines.empty();
 }
 
@@ -226,7 +227,7 @@
     return chainScratch_;
 }
 
-/// The views stay good until the next call.
+/// The views in the result are valid until the next call.
 PlacementRequest RequestScheduler::placementRequest(const SchedulerRequest &request)
 {
     failedScratch_.clear();
@@ -246,14 +247,14 @@
 {
     const auto found = requests_.find(queued.id);
     if (found == requests_.end() || !choice.engine) {
-        return refuse(queued.id, {ResultCode::NoTarget, {}}, noTargetRetry);
+        return refuse(queued.id, {ResultCode::NoTarget, {}}, noTargetRetryAfter);
     }
     const PlacementDecision &decision = *choice.engine;
     const PlacementRequest placed = placementRequest(found->second);
     const std::int64_t missed = std::max<std::int64_t>(1, std::int64_t{placed.promptTokens} - decision.expectedCachedTokens);
     const DispatchId dispatch = placement_.onDispatched(placed, decision, now);
     Engine &engine = engines_[decision.engine];
-    inFlight_[queued.id] = {dispatch, decision.engine, engine.serial, engine.window.start(missed, now)};
+    inFlight_[queued.id] = {dispatch, decision.engine, engine.generation, engine.window.start(missed, now)};
     SchedulerAssignment assignment{
         queued.id, std::string(placement_.engineName(decision.engine)), decision.expectedCachedTokens, decision.expectedFirstToken, 0, 0, {}, {}};
     assignment.workTokens = decision.workTokens;
@@ -270,8 +271,8 @@
 
 std::string RequestScheduler::findHolder(std::span<const BlockHash> blocks, const PlacementDecision &decision) const
 {
-    constexpr std::size_t mostHolders = 4;
-    std::array<HeldPrefix, mostHolders> found;
+    constexpr std::size_t maxHolders = 4;
+    std::array<HeldPrefix, maxHolders> found;
     const std::size_t count = placement_.cacheView().findHolders(blocks, found);
     for (const HeldPrefix &held : std::span(found).first(count)) {
         const auto engine = engines_.find(held.engine);
@@ -342,13 +343,13 @@
 bool RequestScheduler::canRetryElsewhere(RequestId id, TimePoint now)
 {
     const auto entry = inFlight_.find(id);
-    const Engine *present = entry != inFlight_.end() ? engineOf(entry->second) : nullptr;
-    if (present == nullptr) {
-        return true; // Its engine is gone from the list: nothing is to be expected there.
+    const Engine *current = entry != inFlight_.end() ? engineOf(entry->second) : nullptr;
+    if (current == nullptr) {
+        return true; // The engine was removed from the list and no answer is expected from it.
     }
-    return budgetOf(present->model).canRetry(now) && std::any_of(engines_.begin(), engines_.end(), [&](const auto &item) {
+    return budgetOf(current->model).canRetry(now) && std::any_of(engines_.begin(), engines_.end(), [&](const auto &item) {
                const Engine &engine = item.second;
-               return &engine != present && engine.model == present->model && engine.isServing && engine.window.canStart(1);
+               return &engine != current && engine.model == current->model && engine.isServing && engine.window.canStart(1);
            });
 }
 
@@ -363,7 +364,7 @@
 RequestScheduler::Engine *RequestScheduler::engineOf(const InFlight &request)
 {
     const auto engine = engines_.find(request.engine);
-    return engine != engines_.end() && engine->second.serial == request.serial ? &engine->second : nullptr;
+    return engine != engines_.end() && engine->second.generation == request.generation ? &engine->second : nullptr;
 }
 
 void RequestScheduler::onLoadReport(std::string_view engine, const LoadReport &report, TimePoint now)
--- a/decision/request_scheduler.h
+++ b/decision/request_scheduler.h
@@ -19,56 +19,56 @@
 namespace Lovageloft
 {
 
-/// An engine as the configuration and its reports describe it.
+/// An engine as described by the configuration and by its own reports.
 struct SchedulerEngine
 {
     std::string name;
     std::string model;
-    std::string weightsVersion; ///< What it runs now.
-    std::uint64_t incarnation = 0; ///< 0 while not known.
-    double prefillTokensPerSecond = 10'000; ///< Speed at which it computes prompts.
-    std::uint32_t batchLimit = 64; ///< Requests it generates for at once.
-    double cacheTokens = 0; ///< Tokens that its memory holds; 0 while not known.
+    std::string weightsVersion; ///< Version of the weights that it runs now.
+    std::uint64_t incarnation = 0; ///< 0 if unknown.
+    double prefillTokensPerSecond = 10'000; ///< Speed at which it computes prompt tokens.
+    std::uint32_t batchLimit = 64; ///< Requests for which it generates concurrently.
+    double cacheTokens = 0; ///< Capacity of its KV cache in tokens; 0 if unknown.
     bool isServing = true;
     bool isRemote = false; ///< In another data centre than this host.
-    std::optional<TimePoint> lastBegin = std::nullopt; ///< No request that may begin later is sent to it; not set while it serves without end.
+    std::optional<TimePoint> lastBegin = std::nullopt; ///< No request whose first token may come later is sent to it; not set if there is no such limit.
 };
 
-/// A request that needs an engine.
+/// A model request to be scheduled.
 struct SchedulerRequest
 {
     RequestId id{};
     std::string team;
     std::string keyId;
-    std::string cacheSalt; ///< The team's; keeps its cache entries from all others.
+    std::string cacheSalt; ///< Salt of the team; separates its cache entries from those of other teams.
     std::string model;
     Priority priority = Priority::Normal;
-    std::vector<BlockHash> blockDigests; ///< From digestBlocks, or from digestParts of what other prompts may share.
+    std::vector<BlockHash> blockDigests; ///< From digestBlocks, or from digestParts for the parts that other prompts may share.
     std::uint32_t promptTokens = 0;
     std::uint32_t outputTokens = 0;
-    std::size_t bytes = 0; ///< That go to the engine and back.
+    std::size_t bytes = 0; ///< Size of the request and its answer.
     TimePoint deadline;
-    std::vector<std::string> failedEngines; ///< Not empty for a retry.
-    bool reachedTarget = true; ///< A retry whose earlier targets never got it adds no load and takes nothing from the budget.
-    bool isResume = false; ///< The caller has part of the answer already.
-    std::uint64_t fingerprint = 0; ///< Digest of key and body, by which a caller that comes back is known.
-    bool isRetry = false; ///< The caller says that it was refused before.
+    std::vector<std::string> failedEngines; ///< Engines to exclude, in a retry by the router; empty for the first attempt.
+    bool reachedTarget = true; ///< False if no earlier target received the request: such a retry adds no load and isn't counted against the retry budget.
+    bool isResume = false; ///< Whether the caller has received part of the answer already.
+    std::uint64_t fingerprint = 0; ///< Digest of key and body that identifies a retry by the caller; 0 if unknown.
+    bool isRetry = false; ///< Whether the caller states that the request was refused before.
 };
 
-/// An engine was found; `onEnded` must follow in any case.
+/// The request is to be sent to an engine. The caller must call RequestScheduler::onEnded in any case.
 struct SchedulerAssignment
 {
     RequestId id{};
     std::string engine;
     std::uint32_t expectedCachedTokens = 0;
     double expectedFirstToken = 0; ///< Seconds from now.
-    std::uint32_t workTokens = 0; ///< What the engine has to compute, in prompt tokens of a short prompt.
-    std::uint32_t newTokens = 0; ///< That it adds to the engine's memory.
-    std::vector<BlockHash> blocks; ///< The prompt's chain for this engine's weights.
-    std::string holder; ///< Another engine that is believed to hold more of the prompt; empty if there is none.
+    std::uint32_t workTokens = 0; ///< Work of the engine, expressed as the number of prompt tokens of a short prompt.
+    std::uint32_t newTokens = 0; ///< Tokens that the request adds to the engine's cache.
+    std::vector<BlockHash> blocks; ///< Block hashes of the prompt for this engine's weights.
+    std::string holder; ///< Another engine that is expected to hold more of the prompt in its cache; empty if there is none.
 };
 
-/// The request is given up; it reached no engine in this attempt.
+/// The request is refused. It reached no engine in this attempt.
 struct SchedulerRefusal
 {
     RequestId id{};
@@ -78,86 +78,93 @@
 
 using SchedulerOutcome = std::variant<SchedulerAssignment, SchedulerRefusal>;
 
-/// How an assigned request ended.
+/// How a dispatched request ended.
 enum class DispatchResult : std::uint8_t
 {
     Finished,
-    Failed, ///< The engine broke, stalled or refused.
-    Declined, ///< The engine did not run it as it has too much to do; it works well otherwise.
-    Cancelled, ///< The caller went away; says nothing about the engine.
+    Failed, ///< The engine failed, stalled or refused the request.
+    Declined, ///< The engine did not run the request because it is overloaded; it is healthy otherwise.
+    Cancelled, ///< The caller disconnected; says nothing about the engine.
 };
 
-/// All decisions about model requests on one host: admits or refuses, keeps the order of service, opens and closes windows, and
-/// places. Made for a fleet that is saturated or losing engines, where each of these parts alone would undo another: a queue
-/// that is fair is worth nothing if engines queue behind it, and a retry that skips the budget doubles a storm.
-/// Not thread-safe; opens nothing and reads no clock.
+/// Schedules the model requests of one host: admission, order of service, engine windows, placement and the budget for retries.
+/// Designed for a fleet that is saturated or losing engines. One class combines these decisions because they depend on each other:
+/// a fair queue has no effect if requests queue again in the engines, and retries outside the budget amplify a retry storm.
+/// Not thread-safe; performs no I/O and reads no clock.
 class RequestScheduler
 {
 public:
     explicit RequestScheduler(const QueueLimits &limits = {}, const PlacementPolicy &policy = {});
 
-    /// Replaces the list of engines. One with another incarnation has crashed: its window begins anew.
+    /// Replaces the list of engines. The window of an engine whose incarnation changed is reset, since the engine has crashed.
     void setEngines(std::span<const SchedulerEngine> engines);
 
-    /// A team's part of the engines relative to others'.
+    /// Sets a team's weight relative to other teams; see AdmissionQueue::setWeight.
     void setTeamWeight(std::string_view team, double weight);
 
+    /// Sets the number of hosts that send requests to the same engines.
     void setHostCount(std::size_t count);
 
-    /// What retries of requests for any one model may add to its load.
+    /// Sets the limits of the retry budget that each model has.
     void setRetryLimits(const RetryBudget::Limits &limits);
 
-    /// Queues or refuses a request.
+    /// Queues a request; returns a refusal if it is refused at once.
     std::optional<SchedulerRefusal> submit(SchedulerRequest request, TimePoint now);
 
-    /// The caller of a waiting request went away.
+    /// Removes a queued request whose caller disconnected.
     void cancel(RequestId id, TimePoint now);
 
-    /// Takes waiting requests of a withdrawn key out; each is refused with KeyWithdrawn.
+    /// Removes the queued requests of a withdrawn key and refuses each with KeyWithdrawn.
     std::vector<SchedulerOutcome> withdrawKey(std::string_view team, std::string_view keyId, TimePoint now);
 
-    /// Gives up what waited too long and assigns what can go now. To be called after every change, and at `nextDeadline`.
+    /// Refuses expired requests and assigns those that can be dispatched now. Call it after every other change and at `nextDeadline`.
     std::vector<SchedulerOutcome> decide(TimePoint now, Random &random);
 
-    /// When `decide` has something to do though nothing happened.
+    /// When to call `decide` next if nothing else changes.
     std::optional<TimePoint> nextDeadline() const;
 
-    /// Refuses new requests; what waits is still served.
+    /// Refuses new requests; queued requests are still served.
     void drain();
 
-    /// Another host sent a request to an engine.
+    /// Records that another host sent a request to an engine; see Placement::onDispatchedElsewhere.
     void onDispatchedElsewhere(std::string_view engine, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now);
 
+    /// Records the first token; `cachedTokens` is the engine's own count if the answer contains one.
     void onFirstToken(RequestId id, std::optional<std::uint32_t> cachedTokens, TimePoint now);
+
+    /// Records the end of a dispatched request. Unknown and repeated ids are ignored here and below.
     void onEnded(RequestId id, DispatchResult end, TimePoint now);
 
-    /// Whether a request that is at an engine could be sent to another one now: one has room, and the retry budget allows it.
+    /// Whether a dispatched request could be retried at another engine now: one has room in its window and the retry budget allows it.
     bool canRetryElsewhere(RequestId id, TimePoint now);
 
-    /// The engine has been silent for too long about a request that stays there: it has more than it can do.
+    /// Shrinks the window of an engine that has sent nothing for too long for a request that stays there: it is overloaded.
     void onStalled(RequestId id, TimePoint now);
 
     void onLoadReport(std::string_view engine, const LoadReport &report, TimePoint now);
     void onCacheEvents(std::string_view engine, std::uint64_t incarnation, std::uint64_t firstSequence, std::span<const CacheEvent> events);
     void onCacheResync(std::string_view engine, std::uint64_t incarnation, std::uint64_t nextSequence, std::span<const BlockHash> blocks);
 
+    /// Number of queued requests.
     std::size_t waiting() const;
+
+    /// Number of dispatched requests that have not ended.
     std::size_t inFlight() const;
 
-    /// Requests that this host may have in an engine; 0 for one that is not listed.
+    /// Size of the window: requests that this host may have in flight at an engine; 0 if the engine is not listed.
     std::size_t windowOf(std::string_view engine) const;
 
-    /// Whether the engine is set aside as slow or failing.
+    /// Whether the engine is ejected because it is slow or failing.
     bool isEjected(std::string_view engine) const;
 
 private:
-    /// What is known of an engine besides what the placement keeps.
+    /// State of an engine in addition to that kept by Placement.
     struct Engine
     {
         EngineWindow window;
         ModelId model{};
         std::uint64_t incarnation = 0;
-        std::uint64_t serial = 0; ///< Tells it from an earlier engine that had the same index.
+        std::uint64_t generation = 0; ///< Distinguishes the engine from an earlier one with the same index.
         bool isServing = false;
     };
 
@@ -171,11 +178,11 @@
     {
         DispatchId dispatch = 0;
         EngineIndex engine = 0;
-        std::uint64_t serial = 0;
+        std::uint64_t generation = 0;
         EngineWindow::Dispatch window;
     };
 
-    /// What was found for the request that the queue would give out next.
+    /// Result of placing the next request of the queue.
     struct Choice
     {
         std::optional<PlacementDecision> engine;
@@ -185,7 +192,7 @@
     RetryBudget &budgetOf(ModelId model);
     std::optional<SchedulerRefusal> checkRetry(const SchedulerRequest &request, TimePoint now);
     bool choose(const QueuedRequest &queued, TimePoint now, Random &random, Choice &choice);
-    void scaleQueues(const std::map<EngineIndex, Engine> &after);
+    void scaleQueues(const std::map<EngineIndex, Engine> &updated);
     std::span<const VersionedChain> chainsOf(const SchedulerRequest &request);
     PlacementRequest placementRequest(const SchedulerRequest &request);
     SchedulerOutcome assign(const QueuedRequest &queued, TimePoint now, const Choice &choice);
@@ -197,19 +204,19 @@
     AdmissionQueue queue_;
     Placement placement_;
     RetryBudget::Limits retryLimits_;
-    std::unordered_map<ModelId, RetryBudget> retries_;
+    std::unordered_map<ModelId, RetryBudget> retryBudgets_;
     IdTable<TeamId> teams_;
     IdTable<KeyId> keys_;
     IdTable<ModelId> models_;
     IdTable<ModelVersionId> modelVersions_;
     std::map<EngineIndex, Engine> engines_;
     std::map<ModelId, std::vector<Version>> versions_;
-    std::unordered_map<RequestId, SchedulerRequest> requests_; ///< Those that wait.
+    std::unordered_map<RequestId, SchedulerRequest> requests_; ///< Queued requests.
     std::unordered_map<RequestId, InFlight> inFlight_;
     std::vector<std::vector<BlockHash>> blockScratch_;
     std::vector<VersionedChain> chainScratch_;
     std::vector<EngineIndex> failedScratch_;
-    std::uint64_t lastSerial_ = 0;
+    std::uint64_t lastGeneration_ = 0;
 };
 
 } // namespace Lovageloft
--- a/decision/reservation_book.cpp
+++ b/decision/reservation_book.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-// A caller that is sent away for longer has lost its deadline anyway, and a longer list only holds memory.
-constexpr Duration horizon = std::chrono::minutes(10);
+// With a longer wait the caller misses its deadline anyway, and more reservations would only use memory.
+constexpr Duration maxRetryAfter = std::chrono::minutes(10);
 
-// Per team and lane; 32 bytes each, so that 580 teams that all overflow stay under 80 MB.
-constexpr std::size_t mostReservations = 4096;
+// Per team and lane. At 32 bytes each, 580 teams at this limit use less than 80 MB.
+constexpr std::size_t maxReservations = 4096;
 
-Duration wholeSeconds(Duration duration)
+Duration ceilToSeconds(Duration duration)
 {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(duration);
     return std::max(seconds, std::chrono::seconds(1));
@@ -26,12 +26,12 @@
 {
     advance(now);
     const auto held = byFingerprint_.find(fingerprint);
-    if (held != byFingerprint_.end() && held->second >= dueEnd_) {
-        return wholeSeconds(reservations_[held->second - firstIndex_].due - now);
+    if (held != byFingerprint_.end() && held->second >= firstNotDue_) {
+        return ceilToSeconds(reservations_[held->second - firstIndex_].due - now);
     }
-    const Duration wait = wholeSeconds(std::max(earliest, reservedUntil_) - now);
-    if (wait > horizon || reservations_.size() >= mostReservations) {
-        return horizon;
+    const Duration wait = ceilToSeconds(std::max(earliest, reservedUntil_) - now);
+    if (wait > maxRetryAfter || reservations_.size() >= maxReservations) {
+        return maxRetryAfter;
     }
     drop(fingerprint);
     reservedUntil_ = std::max(earliest, reservedUntil_) + duration;
@@ -40,7 +40,7 @@
     if (fingerprint != 0) {
         byFingerprint_[fingerprint] = firstIndex_ + reservations_.size() - 1;
     }
-    return wholeSeconds(reservations_.back().due - now);
+    return ceilToSeconds(reservations_.back().due - now);
 }
 
 bool ReservationBook::redeem(std::uint64_t fingerprint, bool isRetry, TimePoint now)
@@ -48,7 +48,7 @@
     advance(now);
     const auto held = byFingerprint_.find(fingerprint);
     if (held != byFingerprint_.end()) {
-        if (held->second >= dueEnd_) {
+        if (held->second >= firstNotDue_) {
             return false;
         }
         release(held->second);
@@ -57,7 +57,7 @@
     if (!isRetry) {
         return false;
     }
-    for (std::uint64_t index = firstIndex_; index < dueEnd_; ++index) {
+    for (std::uint64_t index = firstIndex_; index < firstNotDue_; ++index) {
         if (reservations_[index - firstIndex_].cost == 0) {
             continue;
         }
@@ -88,9 +88,9 @@
 
 void ReservationBook::advance(TimePoint now)
 {
-    while (dueEnd_ < firstIndex_ + reservations_.size() && reservations_[dueEnd_ - firstIndex_].due <= now) {
-        tokensDue_ += reservations_[dueEnd_ - firstIndex_].cost;
-        ++dueEnd_;
+    while (firstNotDue_ < firstIndex_ + reservations_.size() && reservations_[firstNotDue_ - firstIndex_].due <= now) {
+        tokensDue_ += reservations_[firstNotDue_ - firstIndex_].cost;
+        ++firstNotDue_;
     }
     while (!reservations_.empty() && reservations_.front().due + reservationGrace < now) {
         release(firstIndex_);
@@ -102,7 +102,7 @@
 void ReservationBook::release(std::uint64_t index)
 {
     Reservation &reservation = reservations_[index - firstIndex_];
-    if (index < dueEnd_) {
+    if (index < firstNotDue_) {
         tokensDue_ -= reservation.cost;
     }
     reservation.cost = 0;
--- a/decision/reservation_book.h
+++ b/decision/reservation_book.h
@@ -9,27 +9,28 @@
 namespace Lovageloft
 {
 
-/// The times at which refused requests of one team were told to come back, and the room kept for them.
+/// Reservations for the retries of refused requests of one team and lane: when each was told to retry, and the capacity kept for it.
 ///
-/// Made for a team that asks for more than its part for a while. Without the book every refused caller is told the same
-/// time, all return at once and most are refused again: their Retry-After was false. Here each gets its own time, spaced
-/// by what the team's part drains, and room is kept for it until `reservationGrace` after.
+/// Designed for a team that exceeds its share for some time. If all refused callers got the same Retry-After, they would retry at
+/// the same time and most would be refused again. Here each caller gets its own time, spaced at the rate at which the team's share
+/// drains, and capacity is kept for it until `reservationGrace` after that time.
 class ReservationBook
 {
 public:
-    /// Reserves for a request of `cost` tokens from `earliest` on, which lasts `duration` at the team's part.
-    /// Returns how long the caller is to wait, in whole seconds as the HTTP field needs them. A fingerprint that
-    /// holds a reservation already keeps it. Beyond the book's limits the answer is the horizon, and nothing is kept.
+    /// Reserves capacity for a request of `cost` tokens, not before `earliest`. `duration` is the time that the team's share takes to
+    /// serve it. Returns the time until the caller should retry, in whole seconds as required by the Retry-After header. A
+    /// fingerprint whose reservation is not due yet keeps it. If the book is full or the wait would exceed 10 minutes, returns
+    /// 10 minutes without a reservation.
     Duration reserve(std::uint64_t fingerprint, std::int64_t cost, TimePoint earliest, Duration duration, TimePoint now);
 
-    /// Uses up the reservation of a request that is due. A retry that holds none here was refused by another host, and
-    /// uses the oldest one due: as many of this host's callers return elsewhere.
+    /// Consumes the reservation of a request if it is due; false if there is none. A retry without a reservation was refused by
+    /// another host and consumes the oldest due one, since about as many callers refused by this host retry at other hosts.
     bool redeem(std::uint64_t fingerprint, bool isRetry, TimePoint now);
 
-    /// Drops a reservation that is no longer needed, due or not.
+    /// Removes a reservation that is no longer needed, whether it is due or not.
     void drop(std::uint64_t fingerprint);
 
-    /// Tokens of reservations that are due, neither used nor lapsed.
+    /// Tokens of reservations that are due and neither consumed nor expired.
     std::int64_t tokensDue(TimePoint now);
 
     bool isEmpty() const;
@@ -38,7 +39,7 @@
     struct Reservation
     {
         std::uint64_t fingerprint = 0;
-        std::int64_t cost = 0; ///< 0 once used or dropped.
+        std::int64_t cost = 0; ///< In tokens; 0 once consumed or dropped.
         TimePoint due;
     };
 
@@ -46,14 +47,14 @@
     void release(std::uint64_t index);
 
     std::deque<Reservation> reservations_; ///< In ascending order of due time.
-    std::unordered_map<std::uint64_t, std::uint64_t> byFingerprint_; ///< Index counted from the first ever made.
+    std::unordered_map<std::uint64_t, std::uint64_t> byFingerprint_; ///< Indexes count from the first reservation ever made.
     std::uint64_t firstIndex_ = 0; ///< Index of reservations_.front().
-    std::uint64_t dueEnd_ = 0; ///< Index of the first one not yet due.
+    std::uint64_t firstNotDue_ = 0; ///< Index of the first reservation that is not yet due.
     std::int64_t tokensDue_ = 0;
-    TimePoint reservedUntil_;
+    TimePoint reservedUntil_; ///< End of the last reservation's duration.
 };
 
-/// How long room is kept for a caller after its time: Retry-After is in whole seconds and clients add jitter of a second or two.
+/// How long capacity is kept for a caller after its time: Retry-After is in whole seconds, and clients add jitter of a second or two.
 constexpr Duration reservationGrace = std::chrono::seconds(3);
 
 } // namespace Lovageloft
--- a/decision/retry_budget.cpp
+++ b/decision/retry_budget.cpp
@@ -14,7 +14,7 @@
 void RetryBudget::onRequest(TimePoint now)
 {
     advance(now);
-    ++buckets_[static_cast<std::size_t>(second_) % windowSeconds].requests;
+    ++buckets_[static_cast<std::size_t>(newestSecond_) % windowSeconds].requests;
 }
 
 bool RetryBudget::canRetry(TimePoint now)
@@ -30,21 +30,21 @@
         reason = {.code = ResultCode::RetryBudgetSpent, .text = std::string(resultCodeInfo(ResultCode::RetryBudgetSpent).meaning)};
         return false;
     }
-    ++buckets_[static_cast<std::size_t>(second_) % windowSeconds].retries;
+    ++buckets_[static_cast<std::size_t>(newestSecond_) % windowSeconds].retries;
     return true;
 }
 
 void RetryBudget::advance(TimePoint now)
 {
     const std::int64_t second = std::chrono::floor<std::chrono::seconds>(now.time_since_epoch()).count();
-    if (second <= second_) {
+    if (second <= newestSecond_) {
         return;
     }
-    const std::int64_t firstStale = std::max(second_ + 1, second - static_cast<std::int64_t>(windowSeconds) + 1);
+    const std::int64_t firstStale = std::max(newestSecond_ + 1, second - static_cast<std::int64_t>(windowSeconds) + 1);
     for (std::int64_t stale = firstStale; stale <= second; ++stale) {
         buckets_[static_cast<std::size_t>(stale) % windowSeconds] = {};
     }
-    second_ = second;
+    newestSecond_ = second;
 }
 
 RetryBudget::Bucket RetryBudget::total() const
--- a/decision/retry_budget.h
+++ b/decision/retry_budget.h
@@ -9,43 +9,44 @@
 namespace Lovageloft
 {
 
-/// Limits the router's own retries to a part of its traffic.
+/// Limits the router's own retries to a fraction of its traffic.
 ///
-/// Made for the loss of an engine or a slow fleet, when many requests fail at once. The harm prevented is a retry storm:
-/// each failure sends the work again, the engines left get more than they can do, and their failures are sent again too.
+/// Prevents retry storms when many requests fail at once, as after the loss of an engine or with a slow fleet: each failure is
+/// retried, the remaining engines are overloaded, and their failures are retried too.
 class RetryBudget
 {
 public:
-    /// What this host may add to the load by trying again. The usual limits: at most one retry for ten requests, so that the load on
-    /// the targets left grows by a tenth at worst, which the space between the usual load and saturation absorbs. A host with a request
-    /// every few seconds would then never retry; three in ten seconds from each of a few hosts are no storm for any target.
+    /// Limits of the load that retries by this host may add. By default at most one retry for ten requests, so that the load on the
+    /// remaining targets grows by at most a tenth, which the margin between usual load and saturation absorbs. A host with one request
+    /// every few seconds could then never retry, so three retries in ten seconds are always allowed; from a few hosts these can't
+    /// overload a target.
     struct Limits
     {
         double ratio = 0.1; ///< Retries per request.
-        double minRetries = 3; ///< Retries in the window that are allowed whatever the traffic.
+        double minRetries = 3; ///< Retries per window that are allowed whatever the traffic.
     };
 
     void setLimits(const Limits &limits);
 
-    /// Counts a request that was sent to a target for the first time.
+    /// Counts a first attempt of a request.
     void onRequest(TimePoint now);
 
-    /// Whether `tryAcquire` would be allowed.
+    /// Whether `tryAcquire` would succeed now.
     bool canRetry(TimePoint now);
 
-    /// Takes one retry from the budget; false with RetryBudgetSpent if retries would pass their part.
+    /// Consumes one retry of the budget; false with RetryBudgetSpent if the limits are reached.
     bool tryAcquire(TimePoint now, Reason &reason);
 
 private:
-    /// The traffic of one second.
+    /// Traffic of one second.
     struct Bucket
     {
         std::uint64_t requests = 0;
         std::uint64_t retries = 0;
     };
 
-    // Ten seconds: long enough that a burst of failures doesn't meet an empty budget, short enough that the calm of the
-    // last minute pays for no storm now.
+    // Long enough that a burst of failures doesn't find an empty budget, short enough that quiet traffic a minute ago doesn't pay for
+    // a retry storm now.
     static constexpr std::size_t windowSeconds = 10;
 
     void advance(TimePoint now);
@@ -53,7 +54,7 @@
 
     Limits limits_;
     std::array<Bucket, windowSeconds> buckets_{};
-    std::int64_t second_ = 0; ///< The second that the newest bucket holds.
+    std::int64_t newestSecond_ = 0; ///< Second that the newest bucket counts.
 };
 
 } // namespace Lovageloft
--- a/decision/service_share.cpp
+++ b/decision/service_share.cpp
@@ -5,19 +5,19 @@
 
 void ServiceShare::begin(double served, std::uint64_t epoch)
 {
-    // What competes with a lane is another matter after a gap longer than the time it was watched.
-    if (epoch != epoch_ || served - last_ > all_) {
-        earned_ = 0;
-        all_ = 0;
+    // After a gap longer than what was measured, the competing load is likely to be a different one.
+    if (epoch != epoch_ || served - lastServed_ > observedTokens_) {
+        earnedTokens_ = 0;
+        observedTokens_ = 0;
     }
     epoch_ = epoch;
-    last_ = served;
+    lastServed_ = served;
     isActive_ = true;
 }
 
 void ServiceShare::onEarned(std::int64_t tokens)
 {
-    earned_ += isActive_ ? static_cast<double>(tokens) : 0;
+    earnedTokens_ += isActive_ ? static_cast<double>(tokens) : 0;
 }
 
 void ServiceShare::end(double served)
@@ -31,14 +31,14 @@
     return isActive_;
 }
 
-double ServiceShare::share(double expected, double tokens, double served, double memory)
+double ServiceShare::share(double prior, double priorTokens, double served, double decayTokens)
 {
     advance(served);
-    if (all_ > memory) {
-        earned_ *= memory / all_;
-        all_ = memory;
+    if (observedTokens_ > decayTokens) {
+        earnedTokens_ *= decayTokens / observedTokens_;
+        observedTokens_ = decayTokens;
     }
-    return (earned_ + expected * tokens) / (all_ + tokens);
+    return (earnedTokens_ + prior * priorTokens) / (observedTokens_ + priorTokens);
 }
 
 void ServiceShare::advance(double served)
@@ -46,8 +46,8 @@
     if (!isActive_) {
         return;
     }
-    all_ += served - last_;
-    last_ = served;
+    observedTokens_ += served - lastServed_;
+    lastServed_ = served;
 }
 
 } // namespace Lovageloft
--- a/decision/service_share.h
+++ b/decision/service_share.h
@@ -5,36 +5,38 @@
 namespace Lovageloft
 {
 
-/// What a lane earned for each token that the engines took, while the lane needed tokens: for work that waits or to pay
-/// back what it was served ahead of its part.
+/// Measures the share of the service that a lane of a FairQueue gets: tokens credited to the lane per token served, while the lane
+/// needed tokens for queued requests or to pay back negative credit.
 ///
-/// Made for overload beside teams that stay within their part: their work comes later than an offer and still goes first, so
-/// the backlog alone promises too short a wait, and what was let in on it expires. Counted in tokens and not in time: while
-/// a few long prompts hold all engines nothing is learnt about parts, and no lane may seem closed.
+/// Under overload, requests of teams below their share arrive after an offered request and still go first. The backlog alone then
+/// predicts too short a wait, and requests admitted on it expire. The share is measured in tokens instead of time, since a few long
+/// prompts that occupy all engines say nothing about shares and must not make any lane look blocked.
 class ServiceShare
 {
 public:
-    /// The lane needs tokens from now on; `served` counts the tokens that engines took so far, `epoch` the times at which
-    /// what was learnt before became worthless.
+    /// Starts measuring, as the lane needs tokens from now on. `served` is the number of tokens served so far by all lanes. Earlier
+    /// measurements are discarded if `epoch` differs from the last one.
     void begin(double served, std::uint64_t epoch);
 
-    /// The lane was given tokens; ignored outside of begin and end.
+    /// Tokens were credited to the lane. Ignored unless active.
     void onEarned(std::int64_t tokens);
 
-    /// The lane needs nothing any more.
+    /// Stops measuring, as the lane needs no tokens any more.
     void end(double served);
 
+    /// Whether the lane is being measured, between begin and end.
     bool isActive() const;
 
-    /// The share, if `expected` is a guess that weighs as much as `tokens` served. Evidence fades over `memory` tokens.
-    double share(double expected, double tokens, double served, double memory);
+    /// The estimated share. `prior` is the assumed share, with the weight of `priorTokens` served tokens; measurements decay over
+    /// `decayTokens` tokens.
+    double share(double prior, double priorTokens, double served, double decayTokens);
 
 private:
     void advance(double served);
 
-    double earned_ = 0;
-    double all_ = 0;
-    double last_ = 0; ///< The count of served tokens up to which all_ goes, or at which the lane stopped needing any.
+    double earnedTokens_ = 0;
+    double observedTokens_ = 0; ///< Tokens served by all lanes while this one was measured.
+    double lastServed_ = 0; ///< Value of `served` up to which observedTokens_ is counted, or at which the lane became inactive.
     std::uint64_t epoch_ = 0;
     bool isActive_ = false;
 };
--- a/decision/team_rate_limiter.cpp
+++ b/decision/team_rate_limiter.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-constexpr double startingPart = 0.5;
+constexpr double initialFillFraction = 0.5;
 
-/// Shortest wait that is told: none would send the caller back before a token has come.
-constexpr Duration shortestWait = std::chrono::milliseconds(1);
+/// Shortest Retry-After: with zero the caller would retry before any token was refilled.
+constexpr Duration minRetryAfter = std::chrono::milliseconds(1);
 
-/// Longest wait that is told: a request larger than the bucket can ever hold would otherwise be told hours.
-constexpr Duration longestWait = std::chrono::seconds(10);
+/// Longest Retry-After: a request larger than the bucket's capacity would otherwise be told to wait for hours.
+constexpr Duration maxRetryAfter = std::chrono::seconds(10);
 
 } // namespace
 
@@ -36,7 +36,7 @@
             bucket.tokens = std::min(bucket.tokens, capacity(bucket));
         } else {
             bucket = {limit, 0, now};
-            bucket.tokens = capacity(bucket) * startingPart;
+            bucket.tokens = capacity(bucket) * initialFillFraction;
         }
         buckets.emplace(limit.name, bucket);
     }
@@ -70,15 +70,15 @@
     reason = {ResultCode::OverRate, "team is over its rate"};
     const double missing = std::min(tokens, capacity(bucket)) - bucket.tokens;
     const double rate = bucket.limit.rate * share_;
-    retryAfter = rate > 0 ? std::clamp(fromSeconds(missing / rate), shortestWait, longestWait) : longestWait;
+    retryAfter = rate > 0 ? std::clamp(fromSeconds(missing / rate), minRetryAfter, maxRetryAfter) : maxRetryAfter;
     return false;
 }
 
-void TeamRateLimiter::resetBucket(std::string_view team, double part, TimePoint since)
+void TeamRateLimiter::resetBucket(std::string_view team, double fillFraction, TimePoint since)
 {
     const auto found = buckets_.find(team);
     if (found != buckets_.end()) {
-        found->second.tokens = part * capacity(found->second);
+        found->second.tokens = fillFraction * capacity(found->second);
         found->second.refilledAt = since;
     }
 }
--- a/decision/team_rate_limiter.h
+++ b/decision/team_rate_limiter.h
@@ -12,46 +12,46 @@
 namespace Lovageloft
 {
 
-/// A team's limit over all hosts.
+/// Rate limit of a team over all hosts.
 struct TeamLimit
 {
     std::string name;
-    double rate = 0; ///< Tokens a second; 0: no limit.
+    double rate = 0; ///< Tokens per second; 0 for no limit.
     double burst = 0; ///< Tokens.
 };
 
-/// This host's part in keeping every team within its rate, as a token bucket a team that gets a share of the team's limit.
+/// Rate limiter with a token bucket for each team. Each host gives out its share of a team's limit.
 ///
-/// The load it is made for: one team sends several times its rate to all hosts. The harm prevented: its work takes the targets
-/// from teams within their rate. The shares of all hosts add up to one at any time, so that the sum holds without a message
-/// while a host is cut off. Not thread-safe; reads no clock.
+/// Prevents a team that sends several times its rate to all hosts from taking the targets from teams within their rate. The shares
+/// of all hosts add up to one at any time, so that the limit holds without messages between hosts, also while a host is
+/// partitioned. Not thread-safe; reads no clock.
 class TeamRateLimiter
 {
 public:
-    /// Whether a request larger than a full bucket may run from a full one and leave a debt. It would never run otherwise; but each of
-    /// hundreds of hosts, with small buckets of their own, would let one such request pass.
+    /// What happens to a request that is larger than a full bucket. It could never run without a debt; but each of hundreds of hosts
+    /// with small buckets of their own would admit one such request.
     enum class LargeRequestPolicy : std::uint8_t
     {
-        AllowDebt,
+        AllowDebt, ///< Runs from a full bucket, which becomes negative.
         Refuse,
     };
 
     explicit TeamRateLimiter(LargeRequestPolicy largeRequestPolicy = LargeRequestPolicy::AllowDebt);
 
-    /// Replaces the limits. A team that is known keeps what it has, up to its new burst; a new one begins with half of its burst:
-    /// hosts that restart together would otherwise each hand out a whole one again.
+    /// Replaces the limits. A known team keeps its tokens, up to its new burst. A new team starts with half of its burst: hosts that
+    /// restart together would otherwise each give out a full burst again.
     void setLimits(std::span<const TeamLimit> limits, TimePoint now);
 
-    /// The part of every limit that this host may give out, in [0, 1].
+    /// Sets the fraction of every limit that this host may give out, clamped to [0, 1].
     void setShare(double share, TimePoint now);
 
-    /// Takes `tokens`; false with OverRate and the time after which they would be there.
+    /// Consumes `tokens`; if the bucket holds too few, returns false, OverRate and the time until it would hold enough.
     bool tryConsume(std::string_view team, double tokens, TimePoint now, Reason &reason, Duration &retryAfter);
 
-    /// Begins anew with this part of a full bucket and is refilled from `since` on: another host gave out this part until then.
-    void resetBucket(std::string_view team, double part, TimePoint since);
+    /// Fills a team's bucket to a fraction of its capacity and refills it from `since` on: until then another host gave out this share.
+    void resetBucket(std::string_view team, double fillFraction, TimePoint since);
 
-    /// Returns tokens of a request that did not run.
+    /// Returns the tokens of a request that did not run.
     void refund(std::string_view team, double tokens);
 
 private:
--- a/decision/wait_estimate.cpp
+++ b/decision/wait_estimate.cpp
@@ -9,16 +9,16 @@
 namespace
 {
 
-// Seconds of blocked time over which evidence fades. Long enough to average over several prompts of 60,000 tokens, short
-// enough that the loss of an engine shows before a usual deadline of 10 s has passed.
-constexpr double memorySeconds = 10;
+// Time constant of the exponential decay, in blocked time. Long enough to average over several prompts of 60,000 tokens, short
+// enough that the loss of an engine lowers the rate within the usual deadline of 10 s.
+constexpr double decaySeconds = 10;
 
-// Keeps the wait finite while all engines stand still.
-constexpr double leastRate = 1;
+// In tokens per second. Keeps the wait finite while all engines are stalled.
+constexpr double minRate = 1;
 
-// A change beyond these is an error of the caller or a fleet that starts from nothing; measuring has to take over then.
-constexpr double leastScale = 0.01;
-constexpr double mostScale = 100;
+// A larger change is a caller's error or a fleet that starts from zero; the rate must then be measured.
+constexpr double minScale = 0.01;
+constexpr double maxScale = 100;
 
 } // namespace
 
@@ -35,12 +35,12 @@
         advance(now);
         return;
     }
-    if (now - last_ > assumption_.staleAfter && seconds_ > assumption_.seconds) {
+    if (now - updatedAt_ > assumption_.staleAfter && seconds_ > assumption_.seconds) {
         tokens_ *= assumption_.seconds / seconds_;
         seconds_ = assumption_.seconds;
     }
     isBlocked_ = true;
-    last_ = now;
+    updatedAt_ = now;
 }
 
 void WaitEstimate::onDispatched(std::int64_t tokens, TimePoint now)
@@ -71,18 +71,18 @@
 
 void WaitEstimate::scale(double factor)
 {
-    tokens_ *= std::clamp(factor, leastScale, mostScale);
+    tokens_ *= std::clamp(factor, minScale, maxScale);
 }
 
 void WaitEstimate::advance(TimePoint now)
 {
-    if (!isBlocked_ || now <= last_) {
+    if (!isBlocked_ || now <= updatedAt_) {
         return;
     }
-    const double kept = std::exp(-toSeconds(now - last_) / memorySeconds);
-    tokens_ *= kept;
-    seconds_ = seconds_ * kept + memorySeconds * (1 - kept);
-    last_ = now;
+    const double decay = std::exp(-toSeconds(now - updatedAt_) / decaySeconds);
+    tokens_ *= decay;
+    seconds_ = seconds_ * decay + decaySeconds * (1 - decay);
+    updatedAt_ = now;
 }
 
 bool WaitEstimate::isBlocked() const
@@ -92,7 +92,7 @@
 
 double WaitEstimate::rate() const
 {
-    return seconds_ > 0 ? std::max(leastRate, tokens_ / seconds_) : leastRate;
+    return seconds_ > 0 ? std::max(minRate, tokens_ / seconds_) : minRate;
 }
 
 Duration WaitEstimate::waitFor(std::int64_t tokens) const
--- a/decision/wait_estimate.h
+++ b/decision/wait_estimate.h
@@ -7,56 +7,56 @@
 namespace Lovageloft
 {
 
-/// How fast a queue drains, and from it how long a backlog lasts.
+/// Measures how fast a queue drains and estimates how long a backlog takes.
 ///
-/// Made for uneven load: a quiet weekend, then a Monday burst. The rate is measured only over time in which requests wait
-/// because every engine's window is full. Idle time would count as slowness, and filling empty windows as speed: the first
-/// refuses the burst wrongly, the second lets in what then times out in the queue.
+/// The rate is measured only while requests wait because the window of every engine is full. Under uneven load, such as an idle
+/// weekend followed by a burst on Monday, idle time would count as a low rate and cause wrong refusals, and filling empty windows
+/// would count as a high rate and admit requests that expire in the queue.
 class WaitEstimate
 {
 public:
-    /// What holds until something has been measured, and again when that is out of date.
+    /// What is assumed until a rate has been measured, and after a measured rate has become outdated.
     struct Assumption
     {
-        double rate = 1; ///< Tokens a second; above 0.
-        double seconds = 3; ///< The weight of the assumed or outdated rate, in seconds of measuring.
-        Duration staleAfter = std::chrono::minutes(10); ///< A time without a blocked queue after which a rate is out of date.
+        double rate = 1; ///< Tokens per second; above 0.
+        double seconds = 3; ///< Weight of the initial or outdated rate, in seconds of measurement.
+        Duration staleAfter = std::chrono::minutes(10); ///< A rate is outdated after this time without a blocked queue.
     };
 
     explicit WaitEstimate(const Assumption &assumption);
 
-    /// Requests wait and no engine can take one. Repeated calls only move the time on.
+    /// Requests wait and no engine can take one. Repeated calls only advance the time.
     void onBlocked(TimePoint now);
 
-    /// A request of `tokens` left for an engine.
+    /// A request of `tokens` was dispatched to an engine.
     void onDispatched(std::int64_t tokens, TimePoint now);
 
-    /// A request of `tokens` came back without having reached an engine.
+    /// A request of `tokens` was queued again without having reached an engine.
     void onRequeued(std::int64_t tokens);
 
-    /// Nothing waits any more.
+    /// The queue is empty.
     void onEmptied(TimePoint now);
 
-    /// The capacity changed to `factor` times what it was, as when an engine joined or was lost; above 0. The rate follows at
-    /// once instead of over seconds in which too much or too little is let in.
+    /// Scales the rate by `factor`, above 0, after the capacity changed, for example because an engine joined or was lost. Measuring
+    /// the change would take seconds in which too many or too few requests are admitted.
     void scale(double factor);
 
-    /// Moves the time on while blocked, so that a standstill shows in the rate.
+    /// Advances the time while blocked, so that the rate falls if nothing is dispatched.
     void advance(TimePoint now);
 
     bool isBlocked() const;
 
-    /// Tokens a second, at least 1.
+    /// Tokens per second, at least 1.
     double rate() const;
 
-    /// How long it takes until `tokens` have been dispatched.
+    /// Expected time until `tokens` have been dispatched.
     Duration waitFor(std::int64_t tokens) const;
 
 private:
     Assumption assumption_;
-    double tokens_;
-    double seconds_;
-    TimePoint last_;
+    double tokens_; ///< Dispatched tokens, decayed.
+    double seconds_; ///< Time in which they were dispatched, decayed likewise.
+    TimePoint updatedAt_;
     bool isBlocked_ = false;
 };
 
