--- a/tests/decision/load_driver.h
+++ b/tests/decision/load_driver.h
@@ -16,11 +16,11 @@
 #include "decision/admission_queue.h"
 #include "decision/engine_window.h"
 
-/// Plays load against an admission queue and simple engines in virtual time.
+/// Simulates load on an admission queue with simple engines in virtual time.
 namespace Lovageloft
 {
 
-/// Seeds for repeated runs of a property.
+/// Seeds for repeated runs of a property test.
 inline std::vector<std::uint64_t> seeds(std::size_t count)
 {
     std::vector<std::uint64_t> all(count);
@@ -28,28 +28,28 @@
     return all;
 }
 
-/// What one team sends: Poisson arrivals of one cost, between two seconds.
+/// Load of one team: Poisson arrivals of requests of the same cost.
 struct Demand
 {
     std::uint32_t team = 0;
     double tokensPerSecond = 0;
     std::int64_t cost = 200;
-    double from = 0;
-    double until = 60;
+    double from = 0; ///< Seconds.
+    double until = 60; ///< Seconds.
     std::uint32_t model = 0;
 };
 
-/// What became of requests, each counted as offered once however often it came back.
+/// Counts of requests by result. A request counts as offered once, however often its caller retries.
 struct Outcome
 {
     std::int64_t offered = 0;
     std::int64_t served = 0;
-    std::int64_t servedTokens = 0; ///< Completed within the measured time.
-    std::int64_t refused = 0; ///< On the first try.
-    std::int64_t expired = 0; ///< Given up after they had been admitted.
-    std::int64_t returned = 0; ///< Came back at the time they were told.
-    std::int64_t returnedInVain = 0;
-    std::vector<double> waits = {}; ///< Seconds in the queue of those served.
+    std::int64_t servedTokens = 0; ///< Completed within the measured interval.
+    std::int64_t refused = 0; ///< On the first attempt.
+    std::int64_t expired = 0; ///< After they were admitted.
+    std::int64_t returned = 0; ///< Retries at the time given by Retry-After.
+    std::int64_t returnedUnserved = 0; ///< Retries that were refused again or expired.
+    std::vector<double> waits = {}; ///< Seconds in the queue, of served requests.
 
     Outcome &operator+=(const Outcome &other)
     {
@@ -59,7 +59,7 @@
                                   &Outcome::refused,
                                   &Outcome::expired,
                                   &Outcome::returned,
-                                  &Outcome::returnedInVain}) {
+                                  &Outcome::returnedUnserved}) {
             this->*member += other.*member;
         }
         waits.insert(waits.end(), other.waits.begin(), other.waits.end());
@@ -74,7 +74,7 @@
     }
 };
 
-/// An engine that works off what it is given one after the other; `rate` in tokens a second.
+/// An engine that serves its requests one after another at `rate` tokens per second.
 struct FakeEngine
 {
     double rate = 0;
@@ -99,7 +99,7 @@
         if (demand.from >= demand.until) {
             return;
         }
-        at(demand.from, [this, demand] {
+        schedule(demand.from, [this, demand] {
             ++outcomes_[{demand.team, demand.cost}].offered;
             Job job{.request = {.team = TeamId{demand.team}, .model = ModelId{demand.model}, .cost = demand.cost, .deadline = {}, .fingerprint = nextId_}};
             offer(job);
@@ -107,13 +107,13 @@
         });
     }
 
-    /// Does something at a time, as making an engine slow.
-    void at(double seconds, std::function<void()> action)
+    /// Schedules an action, for example one that makes an engine slow.
+    void schedule(double seconds, std::function<void()> action)
     {
         events_.push({.time = start + fromSeconds(seconds), .order = nextOrder_++, .action = std::move(action)});
     }
 
-    /// Runs until nothing happens any more or `seconds` have passed.
+    /// Runs until no events are left or `seconds` have passed.
     void run(double seconds)
     {
         while (!events_.empty() && events_.top().time <= start + fromSeconds(seconds)) {
@@ -129,13 +129,13 @@
         }
     }
 
-    /// Over all teams and costs that match; 0 stands for all.
+    /// Sum over the matching teams and costs; 0 matches all.
     Outcome outcome(std::uint32_t team = 0, std::int64_t cost = 0) const
     {
         Outcome sum;
-        for (const auto &[key, one] : outcomes_) {
+        for (const auto &[key, result] : outcomes_) {
             if ((team == 0 || key.first == team) && (cost == 0 || key.second == cost)) {
-                sum += one;
+                sum += result;
             }
         }
         return sum;
@@ -147,14 +147,14 @@
     }
 
     AdmissionQueue queue;
-    bool doReturn = true; ///< Whether refused callers come back when they were told.
+    bool refusedCallersRetry = true; ///< Whether refused callers retry at the time given by Retry-After.
     double measuredFrom = 0; ///< Seconds.
     double measuredUntil = 1e9;
 
 private:
     static constexpr TimePoint start{std::chrono::hours(1)};
     static constexpr Duration deadline = std::chrono::seconds(10);
-    static constexpr double prefillPart = 0.8; ///< Of a request's cost, before its first token.
+    static constexpr double prefillFraction = 0.8; ///< Fraction of a request's cost before its first token.
 
     struct Event
     {
@@ -195,18 +195,18 @@
             waiting_[job.request.id] = job;
             return;
         }
-        ++(job.refusals == 0 ? outcomeOf(job).refused : outcomeOf(job).returnedInVain);
+        ++(job.refusals == 0 ? outcomeOf(job).refused : outcomeOf(job).returnedUnserved);
         refuse(job, decision.retryAfter);
     }
 
     void refuse(Job job, Duration retryAfter)
     {
-        if (!doReturn) {
+        if (!refusedCallersRetry) {
             return;
         }
         ++job.refusals;
-        const double late = boost::random::uniform_01<double>()(random_);
-        at(elapsed(now_ + retryAfter) + late, [this, job] {
+        const double jitter = boost::random::uniform_01<double>()(random_);
+        schedule(elapsed(now_ + retryAfter) + jitter, [this, job] {
             ++outcomeOf(job).returned;
             offer(job);
         });
@@ -217,7 +217,7 @@
         for (const ExpiredRequest &expired : queue.expire(now_)) {
             const Job job = waiting_.extract(expired.request.id).mapped();
             ++outcomeOf(job).expired;
-            outcomeOf(job).returnedInVain += job.refusals > 0 ? 1 : 0;
+            outcomeOf(job).returnedUnserved += job.refusals > 0 ? 1 : 0;
             refuse(job, expired.retryAfter);
         }
     }
@@ -231,15 +231,15 @@
         const TimePoint begin = std::max(now_, engine.freeAt);
         engine.freeAt = begin + fromSeconds(seconds);
         const auto dispatch = std::make_shared<EngineWindow::Dispatch>(engine.window.start(request.cost, now_));
-        at(elapsed(begin) + prefillPart * seconds, [this, &engine, dispatch] { engine.window.onFirstToken(*dispatch, now_); });
-        at(elapsed(engine.freeAt), [this, &engine, job, dispatch] {
+        schedule(elapsed(begin) + prefillFraction * seconds, [this, &engine, dispatch] { engine.window.onFirstToken(*dispatch, now_); });
+        schedule(elapsed(engine.freeAt), [this, &engine, job, dispatch] {
             engine.window.onFinished(*dispatch, now_);
             const bool isMeasured = elapsed(now_) >= measuredFrom && elapsed(now_) < measuredUntil;
             outcomeOf(job).servedTokens += isMeasured ? job.request.cost : 0;
         });
     }
 
-    /// The engine with the fewest requests that can take this one; null if none can.
+    /// The engine with the fewest requests in flight that can take the request; null if none can.
     FakeEngine *engineFor(const QueuedRequest &request)
     {
         FakeEngine *best = nullptr;
--- a/tests/decision/test_admission_queue.cpp
+++ b/tests/decision/test_admission_queue.cpp
@@ -66,10 +66,10 @@
     BOOST_TEST(order() == std::vector<std::uint64_t>({3, 4, 2, 1, 5}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(aRequestPastItsDeadlineIsGivenUpAtOnceAndNeverDispatched)
+BOOST_AUTO_TEST_CASE(aRequestPastItsDeadlineExpiresAndIsNeverDispatched)
 {
-    // A request waits until its caller has given up. Sent to an engine it would take the place of one that is still wanted;
-    // kept back, its caller would learn nothing.
+    // If a request is dispatched after its deadline, it takes capacity from requests that are still wanted. If it is kept in the
+    // queue, its caller gets no answer.
     QueuedRequest request = makeRequest(1, 1);
     request.deadline = start + second;
     BOOST_TEST(admit(request));
@@ -103,10 +103,10 @@
     BOOST_TEST(order() == std::vector<std::uint64_t>({2}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(aFloodLeavesMemoryForOthers)
+BOOST_AUTO_TEST_CASE(aFloodOfOneTeamLeavesCapacityForOthers)
 {
-    // One team sends small requests with distant deadlines without end. Other teams would be refused for lack of memory,
-    // although they have nothing in the queue.
+    // One team sends small requests with distant deadlines without end. If it could fill the queue, teams with nothing queued would
+    // be refused.
     queue = AdmissionQueue({.maxRequests = 100});
     std::uint64_t id = 0;
     for (int request = 0; request < 1'000; ++request) {
@@ -123,7 +123,7 @@
 
 BOOST_AUTO_TEST_CASE(aWithdrawnKeyTakesItsRequestsAlong)
 {
-    // A key is withdrawn while its requests wait. Served later, work would be done for someone who is no longer entitled.
+    // A key is withdrawn while its requests are queued. Dispatched later, they would run for a caller that is no longer authorized.
     for (std::uint64_t id = 1; id <= 6; ++id) {
         QueuedRequest request = makeRequest(id, id <= 4 ? 1 : 2);
         request.key = KeyId{static_cast<std::uint32_t>(id % 2)};
@@ -136,8 +136,8 @@
 
 BOOST_DATA_TEST_CASE(everyRequestLeavesExactlyOnce, data::make(seeds(20)), seed)
 {
-    // Offers, dispatches, returns, hang-ups and deadlines come in any order. A request that is lost leaves its caller without
-    // an answer; one that leaves twice is run twice.
+    // Offers, dispatches, requeues, cancellations and deadlines occur in random order. A request that is lost leaves its caller
+    // without an answer; one that leaves the queue twice runs twice.
     queue = AdmissionQueue({.maxRequests = 500, .initialRate = 1e6});
     Random random(seed);
     std::set<RequestId> waiting;
--- a/tests/decision/test_fair_queue.cpp
+++ b/tests/decision/test_fair_queue.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::int64_t maxShortCost = 1'000;
 constexpr std::int64_t quantum = 1'000;
-constexpr std::int64_t mostCost = 60'000;
+constexpr std::int64_t maxCost = 60'000;
 
 struct Fixture
 {
@@ -32,7 +32,7 @@
 
     std::int64_t randomCost()
     {
-        return static_cast<std::int64_t>(1 + (randomBelow(random, 2) == 0 ? randomBelow(random, maxShortCost) : randomBelow(random, mostCost)));
+        return static_cast<std::int64_t>(1 + (randomBelow(random, 2) == 0 ? randomBelow(random, maxShortCost) : randomBelow(random, maxCost)));
     }
 
     std::deque<QueueEntry> entries;
@@ -49,10 +49,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(FairQueueTest, Fixture)
 
-BOOST_DATA_TEST_CASE(teamsWithBacklogStayWithinOneRequestOfTheirParts, data::make(seeds(20)), seed)
+BOOST_DATA_TEST_CASE(teamsWithBacklogStayWithinOneRequestOfTheirShares, data::make(seeds(20)), seed)
 {
-    // Teams of random demand and weight always have both kinds of work waiting. If one got ahead of its part by more than
-    // what it is served at once, the worst-served team would see its answers come ever later.
+    // Teams of random demand and weight always have both kinds of requests queued. If a team got ahead of its share by more than
+    // what is served at once, the waits of the least served team would keep growing.
     random.seed(seed);
     const auto teams = static_cast<std::uint32_t>(2 + randomBelow(random, 20));
     std::vector<double> weights(teams);
@@ -62,23 +62,23 @@
         queue.setWeight(TeamId{team}, weights[team]);
         for (int request = 0; request < 20; ++request) {
             push(team, static_cast<std::int64_t>(1 + randomBelow(random, maxShortCost)));
-            push(team, static_cast<std::int64_t>(maxShortCost + 1 + randomBelow(random, mostCost - maxShortCost)));
+            push(team, static_cast<std::int64_t>(maxShortCost + 1 + randomBelow(random, maxCost - maxShortCost)));
         }
     }
     for (int step = 0; step < 5'000; ++step) {
         const QueueEntry &entry = *queue.pop();
         served[teamOf(entry)] += entry.request.cost;
         push(teamOf(entry), entry.request.cost);
-        const auto part = [&](std::uint32_t team) { return static_cast<double>(served[team]) / weights[team]; };
+        const auto normalizedService = [&](std::uint32_t team) { return static_cast<double>(served[team]) / weights[team]; };
         const std::uint32_t other = static_cast<std::uint32_t>(randomBelow(random, teams));
-        BOOST_REQUIRE(part(teamOf(entry)) - part(other) <= 2 * quantum + maxShortCost + mostCost);
+        BOOST_REQUIRE(normalizedService(teamOf(entry)) - normalizedService(other) <= 2 * quantum + maxShortCost + maxCost);
     }
 }
 
 BOOST_DATA_TEST_CASE(aFloodDelaysAnIdleTeamByOneBlock, data::make(seeds(20)), seed)
 {
-    // One team has a long backlog; another, idle until now, sends one request. It must not stand behind more than one
-    // quantum and one request of the flood, whatever the flood has saved up or owes.
+    // One team has a long backlog; another one, idle until now, sends one request. It must not wait for more than one quantum and
+    // one request of the first team, whatever that team's credit is.
     random.seed(seed);
     for (int request = 0; request < 2'000; ++request) {
         push(1, randomCost());
@@ -87,10 +87,10 @@
         for (std::size_t served = 0; served < randomBelow(random, 20); ++served) {
             push(1, queue.pop()->request.cost);
         }
-        const QueueEntry &light = push(2 + static_cast<std::uint32_t>(round), randomCost());
+        const QueueEntry &idleTeamEntry = push(2 + static_cast<std::uint32_t>(round), randomCost());
         std::int64_t before = 0;
         std::int64_t largest = 0;
-        for (const QueueEntry *entry = queue.pop(); entry != &light; entry = queue.pop()) {
+        for (const QueueEntry *entry = queue.pop(); entry != &idleTeamEntry; entry = queue.pop()) {
             before += entry->request.cost;
             largest = std::max(largest, entry->request.cost);
         }
@@ -98,7 +98,7 @@
     }
 }
 
-BOOST_DATA_TEST_CASE(allThatIsPushedComesOutOnceInOrderOfItsLane, data::make(seeds(10)), seed)
+BOOST_DATA_TEST_CASE(everyEntryIsPoppedOnceInLaneOrder, data::make(seeds(10)), seed)
 {
     random.seed(seed);
     std::map<std::tuple<std::uint32_t, LaneKind, Priority>, std::uint64_t> last;
@@ -122,19 +122,19 @@
     BOOST_TEST(queue.backlog() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(shortWorkPassesLongWorkButPaysForIt)
+BOOST_AUTO_TEST_CASE(shortWorkOvertakesLongWorkButIsCharged)
 {
     push(1, 60'000);
     push(1, 60'000);
-    const QueueEntry &question = push(1, 200);
+    const QueueEntry &shortEntry = push(1, 200);
     const QueueEntry &other = push(2, 5'000);
-    BOOST_TEST(queue.pop() == &question);
+    BOOST_TEST(queue.pop() == &shortEntry);
     BOOST_TEST(queue.pop()->request.cost == 60'000);
     BOOST_TEST(queue.pop() == &other);
     BOOST_TEST(queue.pop()->request.cost == 60'000);
 }
 
-BOOST_AUTO_TEST_CASE(aRequestPutBackIsNextAgainAndPaidOnce)
+BOOST_AUTO_TEST_CASE(aRequeuedRequestIsNextAgainAndChargedOnce)
 {
     QueueEntry &first = push(1, 5'000);
     push(1, 5'000);
@@ -145,10 +145,10 @@
     BOOST_TEST(queue.pop() == &first);
 }
 
-BOOST_DATA_TEST_CASE(tokensAheadForetellsTheOrder, data::make(seeds(20)), seed)
+BOOST_DATA_TEST_CASE(tokensAheadPredictsTheOrder, data::make(seeds(20)), seed)
 {
-    // The expected wait rests on this figure: if it is far too low work is let in and expires, if too high callers are refused
-    // though there is room. Nothing arrives after the offer here.
+    // The expected wait is based on this figure. If it is far too low, requests are admitted that expire; if too high, requests are
+    // refused although there is capacity. Nothing arrives after the offer here.
     random.seed(seed);
     for (int request = 0; request < 300; ++request) {
         push(static_cast<std::uint32_t>(randomBelow(random, 10)), 1 + static_cast<std::int64_t>(randomBelow(random, 5'000)));
@@ -159,13 +159,13 @@
     QueuedRequest probe;
     probe.team = TeamId{3};
     probe.cost = 1 + static_cast<std::int64_t>(randomBelow(random, 5'000));
-    const std::int64_t foretold = queue.tokensAhead(probe);
+    const std::int64_t predicted = queue.tokensAhead(probe);
     const QueueEntry &entry = push(3, probe.cost);
     std::int64_t ahead = 0;
     for (const QueueEntry *next = queue.pop(); next != &entry; next = queue.pop()) {
         ahead += next->request.cost;
     }
-    BOOST_TEST(std::abs(foretold - ahead) <= 10 * (quantum + 5'000));
+    BOOST_TEST(std::abs(predicted - ahead) <= 10 * (quantum + 5'000));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/decision/test_load_of_long_prompts.cpp
+++ b/tests/decision/test_load_of_long_prompts.cpp
@@ -8,9 +8,9 @@
 #include "decision/prompt_parts.h"
 #include "decision/request_scheduler.h"
 
-/// The load of a yearbook's desk and a quote platform, without a network: eight hosts before 18 engines, 25 long prompts a second (13,300
-/// tokens of 160 shared chapters and 3,700 of their own) among 175 short ones a second. The figures are those of the users' sheets; an
-/// engine computes 90,000 prompt tokens a second, one prompt after another.
+/// Simulated load without a network: eight hosts, 18 engines, 25 long prompts per second (13,300 tokens from one of 160 shared prefixes
+/// and 3,700 tokens of their own) among 175 short ones per second. The figures are from the users' requirements; an engine computes
+/// 90,000 prompt tokens per second, one prompt after another.
 using namespace Lovageloft;
 using namespace std::chrono_literals;
 
@@ -21,21 +21,21 @@
 constexpr std::size_t hostCount = 8;
 constexpr std::size_t engineCount = 18;
 constexpr double tokensPerSecond = 90'000;
-constexpr std::uint32_t quietTokens = 1'024; ///< Requests that compute less are not told to the other hosts.
+constexpr std::uint32_t quietTokens = 1'024; ///< Smaller requests are not announced to other hosts.
 
 struct Outcome
 {
-    int longLate = 0; ///< Long prompts that waited more than half a second for their engine.
-    int shortLate = 0; ///< Short ones that waited more than a fifth.
+    int longLate = 0; ///< Long prompts that waited more than 0.5 s for their engine.
+    int shortLate = 0; ///< Short prompts that waited more than 0.2 s.
     int total = 0;
 };
 
-/// Hosts with schedulers of their own; what an engine does is reckoned here, by the real order in which prompts reach it.
+/// Hosts with a scheduler each, and engines simulated by the order in which prompts reach them.
 class Fleet
 {
 public:
-    Fleet(bool tellsOthers, std::size_t randomCandidates)
-        : tellsOthers_(tellsOthers)
+    Fleet(bool announcesDispatches, std::size_t randomCandidates)
+        : announcesDispatches_(announcesDispatches)
     {
         PlacementPolicy policy;
         policy.viewBlocks = 65'536;
@@ -111,7 +111,7 @@
         ++outcome_.total;
         outcome_.longLate += isLong && wait > 500ms ? 1 : 0;
         outcome_.shortLate += !isLong && wait > 200ms ? 1 : 0;
-        if (!tellsOthers_ || assignment.workTokens < quietTokens) {
+        if (!announcesDispatches_ || assignment.workTokens < quietTokens) {
             return;
         }
         for (std::size_t other = 0; other < hostCount; ++other) {
@@ -132,7 +132,7 @@
         }
     }
 
-    bool tellsOthers_;
+    bool announcesDispatches_;
     std::vector<std::unique_ptr<RequestScheduler>> hosts_;
     std::map<std::string, TimePoint> freeAt_;
     std::multimap<TimePoint, Running> running_;
@@ -146,19 +146,19 @@
 
 BOOST_AUTO_TEST_SUITE(LoadOfLongPromptsTest)
 
-BOOST_AUTO_TEST_CASE(hostsThatTellEachOtherOfLongPromptsKeepShortOnesFromWaiting)
+BOOST_AUTO_TEST_CASE(announcingLongPromptsShortensTheWaitOfShortOnes)
 {
-    // Eight hosts see an engine idle at the same moment and all send it their long prompts; short questions that follow wait behind
-    // them and come late, though most engines idle.
+    // If hosts don't announce what they dispatch, several see the same engine idle and send it their long prompts at the same time.
+    // Short prompts behind these are answered late although most engines are idle.
     const Outcome silent = Fleet(false, 2).play(60);
-    const Outcome told = Fleet(true, 2).play(60);
-    BOOST_TEST_MESSAGE("late of " << told.total << ": long " << silent.longLate << " -> " << told.longLate << ", short " << silent.shortLate << " -> "
-                                  << told.shortLate);
-    BOOST_TEST(told.shortLate * 2 < silent.shortLate);
-    BOOST_TEST(told.longLate <= silent.longLate);
+    const Outcome announced = Fleet(true, 2).play(60);
+    BOOST_TEST_MESSAGE("late of " << announced.total << ": long " << silent.longLate << " -> " << announced.longLate << ", short " << silent.shortLate << " -> "
+                                  << announced.shortLate);
+    BOOST_TEST(announced.shortLate * 2 < silent.shortLate);
+    BOOST_TEST(announced.longLate <= silent.longLate);
 }
 
-BOOST_AUTO_TEST_CASE(moreDrawsFindAFreeEngine)
+BOOST_AUTO_TEST_CASE(moreRandomCandidatesFindAFreeEngine)
 {
     const Outcome two = Fleet(true, 2).play(60);
     const Outcome six = Fleet(true, 6).play(60);
--- a/tests/decision/test_prefix_affinity.cpp
+++ b/tests/decision/test_prefix_affinity.cpp
@@ -15,10 +15,10 @@
 constexpr TimePoint start{std::chrono::hours(1)};
 constexpr std::size_t hostCount = 8;
 constexpr std::size_t engineCount = 12;
-constexpr std::size_t promptsEach = 24;
+constexpr std::size_t promptsPerSubject = 24;
 constexpr double tokensPerSecond = 68'000;
 
-/// Hosts that don't hear of each other before engines that are idle.
+/// Hosts that don't exchange information, with idle engines.
 class Fleet
 {
 public:
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Engines that get the prompts of one subject, each sent by another host.
+    /// Engines chosen for prompts that share `shared`, sent by the hosts in turn.
     std::set<std::string> enginesOf(std::span<const PromptPart> shared, std::uint32_t ownTokens)
     {
         std::set<std::string> engines;
@@ -54,7 +54,7 @@
         for (const PromptPart &part : shared) {
             sharedTokens += part.tokens;
         }
-        for (std::size_t i = 0; i < promptsEach; ++i) {
+        for (std::size_t i = 0; i < promptsPerSubject; ++i) {
             RequestScheduler &host = *hosts_[i % hostCount];
             SchedulerRequest request;
             request.id = RequestId{++lastId_};
@@ -89,11 +89,11 @@
 
 BOOST_AUTO_TEST_SUITE(PrefixAffinityTest)
 
-BOOST_AUTO_TEST_CASE(promptsWithMuchOfTheirOwnGoWhereTheirSharedPartIs)
+BOOST_AUTO_TEST_CASE(promptsWithALargeUnsharedPartFollowTheirSharedPrefix)
 {
-    // A help desk's explanations share 5,400 tokens and bring 6,600 of their own. Were the caller's own part to decide where a prompt
-    // belongs, each host would send each prompt of a subject to another engine, which computes the shared part anew: callers wait 80 ms
-    // longer and engines work a third more. Two engines are what a subject that isn't hot is given.
+    // Prompts share about 5,400 tokens and have 6,600 of their own. If the unshared part affected placement, each host would send each
+    // prompt of a subject to another engine, which would recompute the shared part: callers would wait 80 ms longer and engines would
+    // do a third more work. A prefix that isn't hot is placed on at most two engines.
     Fleet fleet;
     for (std::uint64_t subject = 1; subject <= 10; ++subject) {
         const std::vector<PromptPart> shared{{1, 512}, {100 + subject, 4'870}};
@@ -101,10 +101,10 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(shortPromptsGoWhereTheirSharedPartsAre)
+BOOST_AUTO_TEST_CASE(shortPromptsFollowTheirSharedPrefix)
 {
-    // Sorting a ticket takes 570 shared tokens of two parts. In blocks that are longer than both together nothing of it would count as
-    // shared, and all engines compute all of it.
+    // Classification prompts share 570 tokens in two parts. With blocks larger than both parts together nothing would count as shared,
+    // and all engines would compute all of it.
     Fleet fleet;
     for (std::uint64_t subject = 1; subject <= 10; ++subject) {
         const std::vector<PromptPart> shared{{subject % 3, 341}, {200 + subject, 227}};
@@ -112,10 +112,10 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(shortPromptsStayInTheirDataCentreAndLongOnesGoHome)
+BOOST_AUTO_TEST_CASE(shortPromptsStayInTheirDataCentreAndLongOnesMayLeave)
 {
-    // Four data centres have three engines each. Sent anywhere, three of four short requests cross between them, and what crosses is paid
-    // for. The long prompts of one subject still come together at one engine of the whole fleet: were each data centre to compute its
+    // Four data centres have three engines each. If placement ignored them, three of four short requests would cause paid traffic
+    // between data centres. Long prompts of one subject still go to one engine of the whole fleet: if each data centre computed the
     // shared part, callers would wait for it four times.
     Fleet fleet(9);
     const std::set<std::string> local{"e9", "e10", "e11"};
--- a/tests/decision/test_request_scheduler.cpp
+++ b/tests/decision/test_request_scheduler.cpp
@@ -15,27 +15,27 @@
 
 SchedulerEngine engine(std::string name, std::uint64_t incarnation = 1)
 {
-    SchedulerEngine made;
-    made.name = std::move(name);
-    made.model = "m";
-    made.weightsVersion = "v1";
-    made.incarnation = incarnation;
-    return made;
+    SchedulerEngine result;
+    result.name = std::move(name);
+    result.model = "m";
+    result.weightsVersion = "v1";
+    result.incarnation = incarnation;
+    return result;
 }
 
 SchedulerRequest request(std::uint64_t id, std::vector<std::string> failed = {})
 {
-    SchedulerRequest made;
-    made.id = RequestId{id};
-    made.team = "desk";
-    made.keyId = "k1";
-    made.cacheSalt = "salt";
-    made.model = "m";
-    made.promptTokens = 100;
-    made.outputTokens = 10;
-    made.deadline = start + std::chrono::seconds(10);
-    made.failedEngines = std::move(failed);
-    return made;
+    SchedulerRequest result;
+    result.id = RequestId{id};
+    result.team = "desk";
+    result.keyId = "k1";
+    result.cacheSalt = "salt";
+    result.model = "m";
+    result.promptTokens = 100;
+    result.outputTokens = 10;
+    result.deadline = start + std::chrono::seconds(10);
+    result.failedEngines = std::move(failed);
+    return result;
 }
 
 struct SchedulerFixture
@@ -74,10 +74,10 @@
     BOOST_TEST(scheduler.inFlight() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(withoutAnEngineTheFinalAnswerComesAtOnce)
+BOOST_AUTO_TEST_CASE(withoutAnEngineRequestsAreRefusedAtOnce)
 {
-    // The last engine of a model leaves while requests wait. Without the check they would wait for their deadline, and their
-    // callers for an answer that is certain already.
+    // The last engine of a model is removed while requests wait. They must be refused at once instead of waiting for their deadline,
+    // since the answer is certain already.
     scheduler.setEngines({});
     BOOST_TEST(!scheduler.submit(request(1), start).has_value());
     const auto outcome = decideOne();
@@ -86,10 +86,10 @@
     BOOST_TEST((std::get<SchedulerRefusal>(outcome).retryAfter > Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatFailedARequestDoesNotGetItAgain)
+BOOST_AUTO_TEST_CASE(aRetryExcludesEnginesThatFailedTheRequest)
 {
-    // An engine breaks every answer it begins. Sent there again, the request would break again, and its caller see an error
-    // though another engine is well.
+    // An engine breaks off every answer. A request retried there would fail again, and its caller would get an error although
+    // another engine is healthy.
     for (std::uint64_t id = 1; id <= 5; ++id) {
         SchedulerRequest resumed = request(id, {"a"});
         resumed.isResume = true;
@@ -106,8 +106,8 @@
 
 BOOST_AUTO_TEST_CASE(retriesAreBudgetedAndStreamsThatHaveBegunAreNot)
 {
-    // An engine with many streams dies on a quiet host. The retry budget is soon spent; a stream that its caller has half of
-    // would be cut for it, though no storm can come of streams that were running anyway.
+    // An engine with many streams fails while the host has little traffic, so the retry budget is soon spent. Streams that have begun
+    // must still be resumed: they were running anyway and can't cause a retry storm, and without a retry they would be cut off.
     int refused = 0;
     for (std::uint64_t id = 1; id <= 200; ++id) {
         const auto refusal = scheduler.submit(request(id, {"a"}), start);
@@ -122,11 +122,11 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(workIsOnlyTakenFromASilentEngineIfAnotherCanHaveIt)
+BOOST_AUTO_TEST_CASE(aStalledRequestMovesOnlyIfAnotherEngineCanTakeIt)
 {
-    // A burst of three times the usual traffic: every engine answers late and the retry budget is spent. Work that is broken off then is
-    // refused, a moment before its late answer; in a played burst of 10,000 requests 100 to 300 short ones were lost so, and 4 to 80
-    // are with this check.
+    // In a burst of three times the usual traffic every engine answers late and the retry budget is spent. A stalled request that is
+    // aborted then is refused shortly before its late answer would arrive. In a simulated burst of 10,000 requests, 100 to 300 short
+    // ones were lost this way without the check, and 4 to 80 with it.
     BOOST_TEST(!scheduler.submit(request(1), start));
     const auto outcome = decideOne();
     BOOST_REQUIRE(std::holds_alternative<SchedulerAssignment>(outcome));
@@ -143,10 +143,10 @@
     BOOST_TEST(scheduler.canRetryElsewhere(RequestId{1}, start));
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatDeclinesOrIsSilentGetsLessAtATime)
+BOOST_AUTO_TEST_CASE(anEngineThatDeclinesOrStallsGetsASmallerWindow)
 {
-    // An engine has more than it can do and says so, or says nothing. A host that sent it as much as before would fill its queue,
-    // where neither urgency nor a team's share counts.
+    // An overloaded engine declines requests or sends nothing. If the host kept sending as much as before, requests would wait in the
+    // engine's queue, which knows neither priorities nor team shares.
     std::uint64_t id = 0;
     const auto run = [&](DispatchResult end) {
         const auto refusal = scheduler.submit(request(++id), start);
@@ -161,8 +161,8 @@
         BOOST_TEST(scheduler.windowOf(declined) < before);
     }
     scheduler.setEngines({});
-    const std::vector<SchedulerEngine> anew{engine("c")};
-    scheduler.setEngines(anew);
+    const std::vector<SchedulerEngine> replacement{engine("c")};
+    scheduler.setEngines(replacement);
     BOOST_REQUIRE(!scheduler.submit(request(100), start));
     decideOne();
     const std::size_t initial = scheduler.windowOf("c");
@@ -171,14 +171,14 @@
     BOOST_TEST(!scheduler.isEjected("c"));
 }
 
-BOOST_AUTO_TEST_CASE(whatCameWithAWithdrawnKeyLeavesTheQueue)
+BOOST_AUTO_TEST_CASE(aWithdrawnKeyRemovesItsRequestsFromTheQueue)
 {
-    // An operator withdraws a key while its requests wait for busy engines. They would run seconds later for a caller that is
-    // no longer entitled to it.
+    // An operator withdraws a key while its requests wait for busy engines. Left in the queue, they would run seconds later for a
+    // caller that is no longer authorized.
     for (std::uint64_t id = 1; id <= 50; ++id) {
-        SchedulerRequest chapter = request(id);
-        chapter.promptTokens = 20'000;
-        scheduler.submit(std::move(chapter), start);
+        SchedulerRequest longRequest = request(id);
+        longRequest.promptTokens = 20'000;
+        scheduler.submit(std::move(longRequest), start);
     }
     scheduler.decide(start, random);
     const std::size_t waiting = scheduler.waiting();
@@ -191,10 +191,10 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aLateEndOfAnEngineThatLeftDoesNotTouchItsSuccessor)
+BOOST_AUTO_TEST_CASE(aLateEndAtARemovedEngineDoesNotAffectItsSuccessor)
 {
-    // An engine leaves with answers under way and another one takes its place in the tables. Counted against the new one, the
-    // old ends would open its window without bound, and it would be flooded.
+    // An engine is removed with requests in flight and another one takes over its index. If the ends of the old requests were counted
+    // for the new engine, its window would grow without limit and the engine would be flooded.
     scheduler.setEngines(std::vector{engine("old")});
     scheduler.submit(request(1), start);
     decideOne();
@@ -207,10 +207,10 @@
     BOOST_TEST(scheduler.inFlight() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(anAssignmentTellsWhenItsFirstTokenIsExpected)
+BOOST_AUTO_TEST_CASE(anAssignmentStatesWhenItsFirstTokenIsExpected)
 {
-    // Twenty long prompts come at once before one engine. Those at the end of its backlog are known to come late when they are sent, so that
-    // they can be sent as less urgent.
+    // Twenty prompts arrive at one engine at once. The expected time to the first token must include the engine's backlog, so that
+    // prompts known to be late can be sent with a lower urgency.
     QueueLimits limits;
     limits.initialRate = 1e9;
     RequestScheduler single(limits);
@@ -236,10 +236,10 @@
     BOOST_TEST(expected.back() >= 0.1 * static_cast<double>(expected.size()) - 1e-6);
 }
 
-BOOST_AUTO_TEST_CASE(whatEnginesHoldIsKeptWhenMoreEnginesJoin)
+BOOST_AUTO_TEST_CASE(cacheEstimatesAreKeptWhenEnginesJoin)
 {
-    // Engines are added while the others are at work. What was reckoned of the others' memory moved along wrongly, and the router ended
-    // within seconds; its callers' connections broke.
+    // Engines are added while others have requests in flight. The cache estimates of the existing engines were moved incorrectly when
+    // the table grew, and the router crashed within seconds and broke its callers' connections.
     QueueLimits limits;
     limits.initialRate = 1e9;
     RequestScheduler growing(limits);
--- a/tests/decision/test_reservation_book.cpp
+++ b/tests/decision/test_reservation_book.cpp
@@ -25,9 +25,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(ReservationBookTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(callersAreSpacedAndKeepTheirTime)
+BOOST_AUTO_TEST_CASE(reservationsAreSpacedAndKeptOnRepeatedRefusals)
 {
-    // Many are refused at the same moment. Told the same time they would all return at once and most be refused again.
+    // Many callers are refused at the same time. With the same Retry-After they would all retry at once and most would be refused
+    // again.
     BOOST_TEST(reserve(1, start) == 1);
     BOOST_TEST(reserve(2, start) == 1);
     BOOST_TEST(reserve(3, start) == 2);
@@ -38,9 +39,9 @@
     BOOST_TEST(!book.redeem(4, false, start + 3 * second));
 }
 
-BOOST_AUTO_TEST_CASE(roomIsKeptWhileDueAndGivenUpAfterTheGrace)
+BOOST_AUTO_TEST_CASE(aReservationExpiresAfterTheGracePeriod)
 {
-    // A caller never returns. Room kept for it for ever would turn others away.
+    // A caller never retries. If its reservation did not expire, other requests would be refused for it.
     reserve(1, start);
     BOOST_TEST(book.tokensDue(start) == 0);
     BOOST_TEST(book.tokensDue(start + second) == 100);
@@ -50,9 +51,9 @@
     BOOST_TEST(book.isEmpty());
 }
 
-BOOST_AUTO_TEST_CASE(aRetryFromAnotherHostUsesTheOldestDueAndANewcomerNone)
+BOOST_AUTO_TEST_CASE(aRetryFromAnotherHostRedeemsTheOldestDueAndANewcomerNone)
 {
-    // The balancer sends a returning caller to another host than the one that refused it.
+    // The balancer sends a retry to another host than the one that refused the request.
     reserve(1, start);
     reserve(2, start);
     BOOST_TEST(!book.redeem(9, false, start + 2 * second));
@@ -61,7 +62,7 @@
     BOOST_TEST(book.redeem(2, false, start + 2 * second));
 }
 
-BOOST_AUTO_TEST_CASE(theBookIsBounded)
+BOOST_AUTO_TEST_CASE(reservationsAreBounded)
 {
     std::int64_t longest = 0;
     for (std::uint64_t caller = 1; caller <= 20'000; ++caller) {
--- a/tests/decision/test_retry_budget.cpp
+++ b/tests/decision/test_retry_budget.cpp
@@ -27,8 +27,8 @@
 
 BOOST_AUTO_TEST_CASE(aTenthOfTheTrafficOfTheLastTenSeconds)
 {
-    // An engine is lost and every request to it fails. Without the budget each would be sent again, and the engines left
-    // would fail under it as well.
+    // An engine is lost and every request to it fails. Without the budget each would be retried, and the remaining engines would fail
+    // under the additional load.
     RetryBudget budget;
     for (int request = 0; request < 1'000; ++request) {
         budget.onRequest(start + request * second / 100);
--- a/tests/decision/test_wait_estimate.cpp
+++ b/tests/decision/test_wait_estimate.cpp
@@ -12,7 +12,7 @@
 constexpr Duration second = std::chrono::seconds(1);
 constexpr Duration weekend = std::chrono::hours(60);
 
-/// Plays a blocked queue that drains at `rate` tokens a second in steps of 0.1 s; returns the time of the end.
+/// Simulates a blocked queue that drains at `rate` tokens per second in steps of 0.1 s; returns the time at which it is empty.
 TimePoint drain(WaitEstimate &estimate, double rate, TimePoint from, Duration length)
 {
     estimate.onBlocked(from);
@@ -29,7 +29,7 @@
 
 BOOST_AUTO_TEST_SUITE(WaitEstimateTest)
 
-BOOST_AUTO_TEST_CASE(theRateIsThatOfBlockedTime)
+BOOST_AUTO_TEST_CASE(theRateIsMeasuredOverBlockedTime)
 {
     WaitEstimate estimate({.rate = 20'000});
     drain(estimate, 50'000, start, 60 * second);
@@ -37,10 +37,10 @@
     BOOST_TEST(toSeconds(estimate.waitFor(100'000)) == 2, boost::test_tools::tolerance(0.02));
 }
 
-BOOST_AUTO_TEST_CASE(idleTimeAndFreeWindowsCountForNothing)
+BOOST_AUTO_TEST_CASE(idleTimeAndFreeWindowsAreNotMeasured)
 {
-    // Requests trickle through free windows for a weekend. Counted as the engines' speed they would make Monday's burst look
-    // hopeless, and it would be refused.
+    // For a weekend, few requests are dispatched through open windows. If that counted as the service rate, a burst on Monday would
+    // be refused.
     WaitEstimate estimate({.rate = 20'000});
     TimePoint now = drain(estimate, 50'000, start, 60 * second);
     for (int hour = 0; hour < 60; ++hour) {
@@ -51,19 +51,18 @@
     BOOST_TEST(estimate.rate() == 50'000, boost::test_tools::tolerance(0.02));
 }
 
-BOOST_AUTO_TEST_CASE(afterAWeekendNewEvidenceWinsSoon)
+BOOST_AUTO_TEST_CASE(anOutdatedRateIsReplacedWithinSeconds)
 {
-    // Half of the engines were taken away over the weekend. A rate believed for minutes would let in twice what can be done.
+    // Half of the engines are removed over a weekend. A rate kept for minutes would admit twice the load that can be served.
     WaitEstimate estimate({.rate = 20'000});
     const TimePoint friday = drain(estimate, 50'000, start, 60 * second);
     drain(estimate, 25'000, friday + weekend, 10 * second);
     BOOST_TEST(estimate.rate() < 35'000);
 }
 
-BOOST_AUTO_TEST_CASE(aStandstillShowsBeforeADeadlineHasPassed)
+BOOST_AUTO_TEST_CASE(aStallLowersTheRateWithinADeadline)
 {
-    // All engines hang. Nothing is dispatched, so only the passing of time can tell; callers let in at the old rate would
-    // wait in vain.
+    // All engines hang. Nothing is dispatched, so the rate must fall with time alone; requests admitted at the old rate would expire.
     WaitEstimate estimate({.rate = 20'000});
     const TimePoint hang = drain(estimate, 50'000, start, 60 * second);
     estimate.onBlocked(hang);
@@ -73,10 +72,10 @@
     BOOST_TEST(estimate.rate() >= 1);
 }
 
-BOOST_AUTO_TEST_CASE(aShareIsLearntFromServiceAndNotFromTime)
+BOOST_AUTO_TEST_CASE(aShareIsMeasuredInTokensAndNotInTime)
 {
-    // All engines hold long prompts of others for a while. Measured in time every lane would seem closed and teams within
-    // their part would be refused.
+    // Long prompts of other teams occupy all engines for a while. If the share were measured in time, every lane would look blocked
+    // and teams within their share would be refused.
     ServiceShare share;
     share.begin(0, 1);
     BOOST_TEST(share.share(0.5, 1'000, 0, 10'000) == 0.5);
