--- a/coordination/change_log.cpp
+++ b/coordination/change_log.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-void ChangeLog::appendLeap(std::int64_t after, std::int64_t upTo, std::span<const StoreEntry> entries)
+void ChangeLog::appendCoalesced(std::int64_t after, std::int64_t upTo, std::span<const StoreEntry> entries)
 {
     leaps_.push_back({after, upTo});
     for (const StoreEntry &entry : entries) {
--- a/coordination/change_log.h
+++ b/coordination/change_log.h
@@ -23,7 +23,7 @@
     void append(const StoreEntry &entry);
 
     /// All changes after one revision and up to another, as comparing two lists shows them: what came and went in between is not among them.
-    void appendLeap(std::int64_t after, std::int64_t upTo, std::span<const StoreEntry> entries);
+    void appendCoalesced(std::int64_t after, std::int64_t upTo, std::span<const StoreEntry> entries);
 
     /// For each key that changed after `revision` its last change, in the order of their revisions; nothing if the log doesn't reach back
     /// that far, or if the revision lies within a leap.
--- a/coordination/configuration_log_store.cpp
+++ b/coordination/configuration_log_store.cpp
@@ -85,7 +85,7 @@
     return log.version() < next ? StoreStatus::Unavailable : StoreStatus::Ok;
 }
 
-std::size_t ConfigurationLogStore::addWatched(ConfigurationLog &log, std::span<const StoreEntry> entries) const
+std::size_t ConfigurationLogStore::addWatchedEntries(ConfigurationLog &log, std::span<const StoreEntry> entries) const
 {
     std::size_t added = 0;
     for (const StoreEntry &stored : entries) {
@@ -100,12 +100,12 @@
 
 StoreReply ConfigurationLogStore::create(const LogEntry &entry)
 {
-    return store_.compareAndSwap(keyOf(entry.sequence), 0, formatLogEntry(entry));
+    return store_.compareAndSwap(entryKey(entry.sequence), 0, formatLogEntry(entry));
 }
 
 StoreStatus ConfigurationLogStore::read(std::int64_t sequence, std::optional<LogEntry> &entry)
 {
-    const StoreReply reply = store_.get(keyOf(sequence));
+    const StoreReply reply = store_.get(entryKey(sequence));
     if (reply.status == StoreStatus::Ok) {
         entry = entryOf(reply.entry);
     }
@@ -293,7 +293,7 @@
     return prefix_ + "config/in-force";
 }
 
-std::string ConfigurationLogStore::keyOf(std::int64_t sequence) const
+std::string ConfigurationLogStore::entryKey(std::int64_t sequence) const
 {
     return logPrefix() + padded(sequence, sequenceDigits);
 }
--- a/coordination/configuration_log_store.h
+++ b/coordination/configuration_log_store.h
@@ -28,7 +28,7 @@
     StoreStatus catchUp(ConfigurationLog &log);
 
     /// Adds the entries that a watch below logPrefix() brought; returns how many of them were new.
-    std::size_t addWatched(ConfigurationLog &log, std::span<const StoreEntry> entries) const;
+    std::size_t addWatchedEntries(ConfigurationLog &log, std::span<const StoreEntry> entries) const;
 
     /// The reply of one attempt to create the entry's key. A conflict's reply may hold the entry that came first.
     StoreReply create(const LogEntry &entry);
@@ -57,7 +57,7 @@
     /// Where the entries lie, for a watch.
     std::string logPrefix() const;
 
-    std::string keyOf(std::int64_t sequence) const;
+    std::string entryKey(std::int64_t sequence) const;
 
     /// At 2,200 changes a day a snapshot of up to a few megabytes every hour or so, and a start reads two blocks at most.
     static constexpr std::int64_t defaultSnapshotInterval = 100;
--- a/coordination/in_force_tracker.cpp
+++ b/coordination/in_force_tracker.cpp
@@ -154,7 +154,7 @@
     return inForceVersion_;
 }
 
-std::vector<std::string> InForceTracker::lacking(std::int64_t sequence) const
+std::vector<std::string> InForceTracker::hostsLacking(std::int64_t sequence) const
 {
     std::set<std::string> names(lists_.current.begin(), lists_.current.end());
     names.insert(lists_.previous.begin(), lists_.previous.end());
--- a/coordination/in_force_tracker.h
+++ b/coordination/in_force_tracker.h
@@ -45,7 +45,7 @@
     std::int64_t inForceVersion() const;
 
     /// The listed hosts that are not known to hold the entry, for the operator and as those to ask next.
-    std::vector<std::string> lacking(std::int64_t sequence) const;
+    std::vector<std::string> hostsLacking(std::int64_t sequence) const;
 
 private:
     struct Host
--- a/examples/freshness.cpp
+++ b/examples/freshness.cpp
@@ -27,7 +27,7 @@
         }
         tracker.advance(at(second));
         std::cout << "second " << second << ": c is " << (cutOff.isFresh(at(second)) ? "fresh" : "not fresh") << ", entry 2 is "
-                  << (tracker.isInForce(2) ? "in force" : "committed") << ", lacking hosts: " << tracker.lacking(2).size() << '\n';
+                  << (tracker.isInForce(2) ? "in force" : "committed") << ", lacking hosts: " << tracker.hostsLacking(2).size() << '\n';
     }
     // Host b answers c at last, and says that it holds a newer entry: that is no vouch.
     cutOff.onPeerVouch({"b", 1, 2, true}, at(6));
--- a/gateway/followed_prefix.cpp
+++ b/gateway/followed_prefix.cpp
@@ -30,7 +30,7 @@
     if (lacksValues) {
         log.reset(notice.upTo);
     } else if (isLeap) {
-        log.appendLeap(reached, notice.upTo, changes);
+        log.appendCoalesced(reached, notice.upTo, changes);
     } else {
         std::for_each(changes.begin(), changes.end(), [this](const StoreEntry &entry) { log.append(entry); });
     }
@@ -76,7 +76,7 @@
 void FollowedPrefix::takeList(const StoreListReply &list, const std::optional<ChangesNotice> &changes)
 {
     if (changes) {
-        log.appendLeap(reached, list.revision, changes->entries);
+        log.appendCoalesced(reached, list.revision, changes->entries);
     } else {
         log.reset(list.revision);
     }
--- a/servers/configuration_service.cpp
+++ b/servers/configuration_service.cpp
@@ -287,7 +287,7 @@
 EntryStatus ConfigurationService::entryStatus(std::int64_t sequence) const
 {
     const std::lock_guard lock(mutex_);
-    return {log_.version(), tracker_.isInForce(sequence), tracker_.lacking(sequence)};
+    return {log_.version(), tracker_.isInForce(sequence), tracker_.hostsLacking(sequence)};
 }
 
 } // namespace Lovageloft
--- a/servers/store_watch_duty.cpp
+++ b/servers/store_watch_duty.cpp
@@ -56,7 +56,7 @@
 {
     if (revision_ == 0) {
         // One entry's key is as good as any: the answer's revision is the store's.
-        const StoreListReply reply = store_.list(logStore_.keyOf(0));
+        const StoreListReply reply = store_.list(logStore_.entryKey(0));
         if (reply.status != StoreStatus::Ok) {
             return false;
         }
@@ -112,7 +112,7 @@
         return;
     }
     revision_ = std::max(revision_, reply.entries.back().revision);
-    if (logStore_.addWatched(replica_, reply.entries) > 0) {
+    if (logStore_.addWatchedEntries(replica_, reply.entries) > 0) {
         configuration_.takeFrom(replica_);
         writeLog(LogLevel::Info, "configuration_entry", {{"version", replica_.version()}});
     }
--- a/tests/coordination/test_change_log.cpp
+++ b/tests/coordination/test_change_log.cpp
@@ -47,7 +47,7 @@
     ChangeLog log;
     log.reset(10);
     const std::vector<StoreEntry> changes{{"a", "1", 12, false}, {"b", "", 20, true}};
-    log.appendLeap(10, 20, changes);
+    log.appendCoalesced(10, 20, changes);
     BOOST_TEST(log.since(10)->size() == 2U);
     BOOST_TEST(!log.since(11).has_value());
     BOOST_TEST(!log.since(19).has_value());
--- a/tests/coordination/test_configuration_log.cpp
+++ b/tests/coordination/test_configuration_log.cpp
@@ -107,7 +107,7 @@
     ConfigurationLogStore logStore(store, "t/");
     logStore.create(makeEntry(1, 9, 1));
     logStore.create(makeEntry(2, 3, 2)); // Stale at its place.
-    store.compareAndSwap(logStore.keyOf(3), 0, "damaged", 0);
+    store.compareAndSwap(logStore.entryKey(3), 0, "damaged", 0);
     logStore.create(makeEntry(4, 10, 4));
     ConfigurationLog log;
     BOOST_TEST((logStore.catchUp(log) == StoreStatus::Ok));
--- a/tests/coordination/test_in_force_tracker.cpp
+++ b/tests/coordination/test_in_force_tracker.cpp
@@ -36,9 +36,9 @@
         return tracker_.isInForce(1);
     }
 
-    Names lacking() const
+    Names hostsLacking() const
     {
-        return tracker_.lacking(1);
+        return tracker_.hostsLacking(1);
     }
 
 private:
@@ -55,10 +55,10 @@
     Tracked entry({{"a", "b", "c"}, {}});
     entry.hold("a", 0);
     BOOST_TEST(!entry.isInForce(60));
-    BOOST_TEST((entry.lacking() == Names{"b", "c"}));
+    BOOST_TEST((entry.hostsLacking() == Names{"b", "c"}));
     entry.hold("a", 61);
     entry.hold("b", 61);
-    BOOST_TEST((entry.lacking() == Names{"c"}));
+    BOOST_TEST((entry.hostsLacking() == Names{"c"}));
     BOOST_TEST(!entry.isInForce(64));
     BOOST_TEST(entry.isInForce(64.04));
 }
