--- a/benchmarks/shares/shares_wasted.cpp
+++ b/benchmarks/shares/shares_wasted.cpp
@@ -179,7 +179,7 @@
             const std::uint64_t id = ++lastRequest_;
             arrive();
             ++outcome_.drawn;
-            if (!ideal_.take(cost, now_)) {
+            if (!ideal_.consume(cost, now_)) {
                 return;
             }
             const Request request{cost, cost * (0.7 + 0.3 * unit()), fromSeconds(1 + 4 * unit())};
@@ -189,7 +189,7 @@
             ++outcome_.requests;
             const std::size_t host = drawHost();
             const ShareDecision decision = ledgers_[host]->admit("team", cost, id, now_);
-            outcome_.asked += decision.verdict == ShareVerdict::Ask ? 1 : 0;
+            outcome_.asked += decision.verdict == ShareVerdict::Pending ? 1 : 0;
             act(host, decision);
         });
     }
@@ -203,15 +203,15 @@
 
     void act(std::size_t host, const ShareDecision &decision)
     {
-        for (const DebitRequest &ask : decision.asks) {
+        for (const DebitRequest &ask : decision.debitRequests) {
             send(ask.to, [this, host, ask](ShareLedger &home) {
                 const DebitReply reply = home.onDebitRequest(ask, now_);
                 send(reply.to, [this, host, reply](ShareLedger &asker) { act(host, asker.onDebitReply(reply, now_)); });
             });
         }
-        settle(decision.returns);
+        settle(decision.settlements);
         const std::uint64_t id = decision.requestId;
-        if (decision.verdict == ShareVerdict::Ask) {
+        if (decision.verdict == ShareVerdict::Pending) {
             later(decision.deadline - now_, [this, host, id] { act(host, ledgers_[host]->onTimeout(id, now_)); });
         }
         if (decision.verdict == ShareVerdict::Refuse) {
--- a/coordination/claim_lease.cpp
+++ b/coordination/claim_lease.cpp
@@ -11,15 +11,15 @@
 std::optional<std::int64_t> ClaimLease::current(TimePoint now)
 {
     const std::lock_guard lock(mutex_);
-    if (leaseId_ == 0 || now - grantedAt_ >= options_.leaseShare) {
+    if (leaseId_ == 0 || now - grantedAt_ >= options_.leaseSharingTime) {
         return std::nullopt;
     }
     return leaseId_;
 }
 
-bool ClaimLease::renew(Store &store, TimePoint now)
+bool ClaimLease::acquire(Store &store, TimePoint now)
 {
-    const StoreLeaseReply reply = store.grantLease(options_.lifetime + options_.leaseShare);
+    const StoreLeaseReply reply = store.grantLease(options_.lifetime + options_.leaseSharingTime);
     if (reply.status != StoreStatus::Ok) {
         return false;
     }
@@ -29,7 +29,7 @@
     return true;
 }
 
-void ClaimLease::drop(std::int64_t leaseId)
+void ClaimLease::invalidate(std::int64_t leaseId)
 {
     const std::lock_guard lock(mutex_);
     if (leaseId_ == leaseId) {
--- a/coordination/claim_lease.h
+++ b/coordination/claim_lease.h
@@ -21,10 +21,10 @@
     std::optional<std::int64_t> current(TimePoint now);
 
     /// Grants a new lease: one call to the store. False if that failed.
-    bool renew(Store &store, TimePoint now);
+    bool acquire(Store &store, TimePoint now);
 
     /// The store does not know the lease any more.
-    void drop(std::int64_t leaseId);
+    void invalidate(std::int64_t leaseId);
 
 private:
     ClaimOptions options_;
--- a/coordination/claim_record.cpp
+++ b/coordination/claim_record.cpp
@@ -28,12 +28,12 @@
     {
     }
 
-    std::string_view text()
+    std::string_view readText()
     {
         const std::size_t colon = rest_.find(':');
         const auto length = colon == std::string_view::npos ? std::nullopt : parseNumber(rest_.substr(0, colon));
         if (!length || *length < 0 || static_cast<std::size_t>(*length) > rest_.size() - colon - 1) {
-            isGood_ = false;
+            isValid_ = false;
             rest_ = {};
             return {};
         }
@@ -42,17 +42,17 @@
         return field;
     }
 
-    std::int64_t number()
+    std::int64_t readNumber()
     {
-        const auto value = parseNumber(text());
-        isGood_ = isGood_ && value.has_value();
+        const auto value = parseNumber(readText());
+        isValid_ = isValid_ && value.has_value();
         return value.value_or(0);
     }
 
     /// Whether all fields were good and none is left.
     bool isDone() const
     {
-        return isGood_ && rest_.empty();
+        return isValid_ && rest_.empty();
     }
 
 private:
@@ -65,7 +65,7 @@
     }
 
     std::string_view rest_;
-    bool isGood_ = true;
+    bool isValid_ = true;
 };
 
 } // namespace
@@ -99,19 +99,19 @@
 std::optional<ClaimRecord> parseClaimRecord(std::string_view text, Reason &reason)
 {
     FieldReader reader(text);
-    const bool isKnown = reader.text() == formatVersion;
-    const std::int64_t state = reader.number();
+    const bool isKnownVersion = reader.readText() == formatVersion;
+    const std::int64_t state = reader.readNumber();
     ClaimRecord record;
-    record.host = reader.text();
-    record.incarnation = reader.text();
-    record.nonce = reader.text();
-    record.requestDigest = reader.text();
-    record.leaseId = reader.number();
-    record.answer.status = static_cast<int>(reader.number());
-    record.answer.contentType = reader.text();
-    record.answer.body = reader.text();
-    record.answer.isWhole = reader.number() == 1;
-    if (!isKnown || !reader.isDone() || state < 0 || state > static_cast<std::int64_t>(ClaimState::Unknown)) {
+    record.host = reader.readText();
+    record.incarnation = reader.readText();
+    record.nonce = reader.readText();
+    record.requestDigest = reader.readText();
+    record.leaseId = reader.readNumber();
+    record.answer.status = static_cast<int>(reader.readNumber());
+    record.answer.contentType = reader.readText();
+    record.answer.body = reader.readText();
+    record.answer.isWhole = reader.readNumber() == 1;
+    if (!isKnownVersion || !reader.isDone() || state < 0 || state > static_cast<std::int64_t>(ClaimState::Unknown)) {
         reason = {ResultCode::StoreConflict, "the claim in the store can't be read"};
         return std::nullopt;
     }
--- a/coordination/claim_recorder.cpp
+++ b/coordination/claim_recorder.cpp
@@ -11,58 +11,58 @@
 
 bool ClaimRecorder::step(TimePoint now)
 {
-    const auto work = table_.nextWork(now);
-    if (!work) {
+    const auto update = table_.nextUpdate(now);
+    if (!update) {
         return false;
     }
-    if (work->revision == 0) {
-        lookUp(*work, now);
+    if (update->revision == 0) {
+        lookUp(*update, now);
     } else {
-        write(*work, now);
+        write(*update, now);
     }
     return true;
 }
 
-void ClaimRecorder::lookUp(const ClaimWork &work, TimePoint now)
+void ClaimRecorder::lookUp(const ClaimUpdate &update, TimePoint now)
 {
-    const StoreReply reply = store_.get(work.key);
+    const StoreReply reply = store_.get(update.key);
     if (reply.status == StoreStatus::Ok) {
-        onSeen(work, reply.entry, now);
+        onRecordRead(update, reply.entry, now);
         return;
     }
     // A write whose answer was lost may still take effect after this: the table goes on vouching for a claim that
     // was never sent until no such write can be on its way.
-    const bool isGone = reply.status == StoreStatus::NotFound && !work.isDeletion;
+    const bool isGone = reply.status == StoreStatus::NotFound && !update.isDeletion;
     if (isGone) {
-        table_.onWorkDone(work.nonce);
+        table_.onUpdateDone(update.nonce);
     } else {
-        table_.onWorkFailed(work.nonce, 0, now);
+        table_.onUpdateFailed(update.nonce, 0, now);
     }
 }
 
-void ClaimRecorder::write(const ClaimWork &work, TimePoint now)
+void ClaimRecorder::write(const ClaimUpdate &update, TimePoint now)
 {
-    const StoreReply reply =
-        work.isDeletion ? store_.compareAndDelete(work.key, work.revision) : store_.compareAndSwap(work.key, work.revision, work.value, work.leaseId);
+    const StoreReply reply = update.isDeletion ? store_.compareAndDelete(update.key, update.revision)
+                                               : store_.compareAndSwap(update.key, update.revision, update.value, update.leaseId);
     if (reply.status == StoreStatus::Ok || reply.status == StoreStatus::NotFound) {
-        table_.onWorkDone(work.nonce);
+        table_.onUpdateDone(update.nonce);
         return;
     }
-    table_.onWorkFailed(work.nonce, reply.status == StoreStatus::Unavailable ? work.revision : 0, now);
+    table_.onUpdateFailed(update.nonce, reply.status == StoreStatus::Unavailable ? update.revision : 0, now);
 }
 
-void ClaimRecorder::onSeen(const ClaimWork &work, const StoreEntry &entry, TimePoint now)
+void ClaimRecorder::onRecordRead(const ClaimUpdate &update, const StoreEntry &entry, TimePoint now)
 {
     Reason reason;
     const auto record = parseClaimRecord(entry.value, reason);
-    const bool isOurs = record && record->nonce == work.nonce;
-    const bool isWritten = isOurs && entry.value == work.value;
-    if (!isOurs && work.isDeletion) {
-        table_.onWorkFailed(work.nonce, 0, now);
+    const bool isOurs = record && record->nonce == update.nonce;
+    const bool isWritten = isOurs && entry.value == update.value;
+    if (!isOurs && update.isDeletion) {
+        table_.onUpdateFailed(update.nonce, 0, now);
     } else if (!isOurs || isWritten) {
-        table_.onWorkDone(work.nonce);
+        table_.onUpdateDone(update.nonce);
     } else {
-        table_.onWorkFailed(work.nonce, entry.revision, now);
+        table_.onUpdateFailed(update.nonce, entry.revision, now);
     }
 }
 
--- a/coordination/claim_recorder.h
+++ b/coordination/claim_recorder.h
@@ -17,9 +17,9 @@
     bool step(TimePoint now);
 
 private:
-    void lookUp(const ClaimWork &work, TimePoint now);
-    void write(const ClaimWork &work, TimePoint now);
-    void onSeen(const ClaimWork &work, const StoreEntry &entry, TimePoint now);
+    void lookUp(const ClaimUpdate &update, TimePoint now);
+    void write(const ClaimUpdate &update, TimePoint now);
+    void onRecordRead(const ClaimUpdate &update, const StoreEntry &entry, TimePoint now);
 
     ClaimTable &table_;
     Store &store_;
--- a/coordination/claim_runner.cpp
+++ b/coordination/claim_runner.cpp
@@ -10,7 +10,7 @@
 
 /// Store calls and questions of one request. Each round of a race with other hosts takes two or three; a caller that
 /// loses more is told to come back rather than kept waiting.
-constexpr int mostAttempts = 16;
+constexpr int maxAttempts = 16;
 
 } // namespace
 
@@ -28,7 +28,7 @@
 ClaimRunner::~ClaimRunner()
 {
     // Nobody is left to send it. Never-sent claims must be barred, or retries are told to wait for a call that no one makes.
-    table_.abandon(nonce_, TimePoint{});
+    table_.cancel(nonce_, TimePoint{});
     table_.onLost(nonce_);
 }
 
@@ -37,7 +37,7 @@
     if (!isAdded_) {
         return refuse(ResultCode::Overloaded, "too many calls that may not be repeated are open", RunState::MayHaveRun, now, table_.options().retryAfter);
     }
-    if (++attempts_ > mostAttempts) {
+    if (++attempts_ > maxAttempts) {
         return refuse(
             ResultCode::StoreConflict, "other requests for the same call kept winning the claim", RunState::MayHaveRun, now, table_.options().retryAfter);
     }
@@ -58,24 +58,24 @@
     case ClaimFate::Running:
         return refuse(ResultCode::ClaimHeld, "the same call is being carried out now", RunState::MayHaveRun, now, table_.options().retryAfter);
     case ClaimFate::Answered:
-        return keptAnswer(reply.answer, now);
+        return returnKeptAnswer(reply.answer, now);
     case ClaimFate::NeverSent:
-        go(&ClaimRunner::writeClaim);
+        continueWith(&ClaimRunner::writeClaim);
         return result_;
     case ClaimFate::OtherProcess:
-        go(&ClaimRunner::markUnknown);
+        continueWith(&ClaimRunner::markUnknown);
         return result_;
     case ClaimFate::Forgotten:
         return onForgotten(now);
     case ClaimFate::Lost:
         break;
     }
-    return mayHaveRun("the call was sent and its answer was lost", now);
+    return refuseMayHaveRun("the call was sent and its answer was lost", now);
 }
 
-ClaimStep ClaimRunner::onHolderSilent(TimePoint now)
+ClaimStep ClaimRunner::onHolderTimeout(TimePoint now)
 {
-    return result_ == ClaimStep::AskHolder ? mayHaveRun("the host that carries out the call does not answer", now) : result_;
+    return result_ == ClaimStep::AskHolder ? refuseMayHaveRun("the host that carries out the call does not answer", now) : result_;
 }
 
 bool ClaimRunner::beginSend(TimePoint now)
@@ -84,19 +84,19 @@
         return false;
     }
     if (!table_.beginSend(nonce_, now)) {
-        refuseOwned({ResultCode::LeaseLapsed, "the claim was too old to be acted on"}, now);
+        refuseUnsent({ResultCode::LeaseLapsed, "the claim was too old to be acted on"}, now);
         return false;
     }
     result_ = ClaimStep::Wait;
     return true;
 }
 
-ClaimStep ClaimRunner::abandon(Reason reason, TimePoint now)
+ClaimStep ClaimRunner::cancel(Reason reason, TimePoint now)
 {
-    if (result_ != ClaimStep::Send && result_ != ClaimStep::Again && result_ != ClaimStep::AskHolder) {
+    if (result_ != ClaimStep::Send && result_ != ClaimStep::Continue && result_ != ClaimStep::AskHolder) {
         return result_;
     }
-    return refuseOwned(std::move(reason), now);
+    return refuseUnsent(std::move(reason), now);
 }
 
 ClaimStep ClaimRunner::onAnswer(ClaimAnswer answer)
@@ -142,12 +142,12 @@
     return retryAfter_;
 }
 
-ClaimStep ClaimRunner::renewLease(TimePoint now)
+ClaimStep ClaimRunner::acquireLease(TimePoint now)
 {
-    if (!lease_.renew(store_, now)) {
-        return storeFailed(StoreStatus::Unavailable, now);
+    if (!lease_.acquire(store_, now)) {
+        return refuseStoreFailure(StoreStatus::Unavailable, now);
     }
-    go(&ClaimRunner::writeClaim);
+    continueWith(&ClaimRunner::writeClaim);
     return result_;
 }
 
@@ -155,26 +155,26 @@
 {
     const auto lease = lease_.current(now);
     if (!lease) {
-        return renewLease(now);
+        return acquireLease(now);
     }
     table_.onWriting(nonce_, *lease, now);
     const ClaimRecord record{ClaimState::Claimed, table_.host(), table_.incarnation(), nonce_, call_.requestDigest, *lease, {}};
     const StoreReply reply = store_.compareAndSwap(key_, revision_, formatClaimRecord(record), *lease);
     switch (reply.status) {
     case StoreStatus::Ok:
-        return owned(reply.entry.revision);
+        return onClaimWritten(reply.entry.revision);
     case StoreStatus::NotFound:
-        lease_.drop(*lease);
+        lease_.invalidate(*lease);
         return result_;
     case StoreStatus::Unavailable:
-        return storeFailed(reply.status, now);
+        return refuseStoreFailure(reply.status, now);
     case StoreStatus::Conflict:
     case StoreStatus::AnswerLost:
         break;
     }
     // The write may have taken effect although its answer was lost. Writing once more could then only find our own
     // claim and take it for another's; sending without looking could send twice.
-    go(&ClaimRunner::readClaim);
+    continueWith(&ClaimRunner::readClaim);
     return result_;
 }
 
@@ -182,13 +182,13 @@
 {
     const StoreReply reply = store_.get(key_);
     if (reply.status == StoreStatus::Ok) {
-        return inspect(reply.entry, now);
+        return inspectRecord(reply.entry, now);
     }
     if (reply.status != StoreStatus::NotFound) {
-        return storeFailed(StoreStatus::AnswerLost, now);
+        return refuseStoreFailure(StoreStatus::AnswerLost, now);
     }
     revision_ = 0;
-    go(&ClaimRunner::writeClaim);
+    continueWith(&ClaimRunner::writeClaim);
     return result_;
 }
 
@@ -198,7 +198,7 @@
     ClaimRecord record = existing_;
     record.state = ClaimState::Unknown;
     store_.compareAndSwap(key_, revision_, formatClaimRecord(record), record.leaseId);
-    return mayHaveRun("the host that carried out the call was restarted meanwhile", now);
+    return refuseMayHaveRun("the host that carried out the call was restarted meanwhile", now);
 }
 
 ClaimStep ClaimRunner::finished(TimePoint /*now*/)
@@ -206,24 +206,24 @@
     return result_;
 }
 
-ClaimStep ClaimRunner::inspect(const StoreEntry &entry, TimePoint now)
+ClaimStep ClaimRunner::inspectRecord(const StoreEntry &entry, TimePoint now)
 {
     Reason reason;
     const auto record = parseClaimRecord(entry.value, reason);
     if (!record) {
-        return mayHaveRun(reason.text, now);
+        return refuseMayHaveRun(reason.text, now);
     }
     if (record->nonce == nonce_) {
-        return owned(entry.revision);
+        return onClaimWritten(entry.revision);
     }
     if (record->requestDigest != call_.requestDigest) {
         return refuse(ResultCode::IdempotencyKeyReused, "the Idempotency-Key was used before with another request", RunState::NotRun, now);
     }
     if (record->state == ClaimState::Answered) {
-        return keptAnswer(record->answer, now);
+        return returnKeptAnswer(record->answer, now);
     }
     if (record->state == ClaimState::Unknown) {
-        return mayHaveRun("the call may have run; it will not be sent again", now);
+        return refuseMayHaveRun("the call may have run; it will not be sent again", now);
     }
     return askHolder(entry, *record, now);
 }
@@ -240,9 +240,9 @@
     return onHolderReply(table_.onQuery(query_, now), now);
 }
 
-ClaimStep ClaimRunner::owned(std::int64_t revision)
+ClaimStep ClaimRunner::onClaimWritten(std::int64_t revision)
 {
-    isOwned_ = true;
+    isClaimed_ = true;
     table_.onClaimed(nonce_, revision);
     next_ = &ClaimRunner::finished;
     result_ = ClaimStep::Send;
@@ -253,13 +253,13 @@
 {
     // The holder forgets a claim as soon as its end is in the store: perhaps since this host read it.
     if (std::exchange(hasReread_, true)) {
-        return mayHaveRun("the host that carried out the call kept no record of it", now);
+        return refuseMayHaveRun("the host that carried out the call kept no record of it", now);
     }
-    go(&ClaimRunner::readClaim);
+    continueWith(&ClaimRunner::readClaim);
     return result_;
 }
 
-ClaimStep ClaimRunner::storeFailed(StoreStatus status, TimePoint now)
+ClaimStep ClaimRunner::refuseStoreFailure(StoreStatus status, TimePoint now)
 {
     const ResultCode code = status == StoreStatus::Unavailable ? ResultCode::StoreUnavailable : ResultCode::StoreAnswerLost;
     return refuse(code, "the store that keeps the claims does not answer", RunState::MayHaveRun, now, table_.options().retryAfter);
@@ -267,7 +267,7 @@
 
 ClaimStep ClaimRunner::refuse(ResultCode code, std::string text, RunState runState, TimePoint now, Duration retryAfter)
 {
-    table_.abandon(nonce_, now);
+    table_.cancel(nonce_, now);
     reason_ = {code, std::move(text)};
     runState_ = runState;
     retryAfter_ = retryAfter;
@@ -276,34 +276,34 @@
     return result_;
 }
 
-ClaimStep ClaimRunner::refuseOwned(Reason reason, TimePoint now)
+ClaimStep ClaimRunner::refuseUnsent(Reason reason, TimePoint now)
 {
     // A claim that a peer's question barred earlier may have been taken over, and the call have run there since.
-    const bool wasHeld = table_.abandon(nonce_, now) && isOwned_;
-    return refuse(reason.code, std::move(reason.text), wasHeld ? RunState::NotRun : RunState::MayHaveRun, now, table_.options().retryAfter);
+    const bool wasUnsent = table_.cancel(nonce_, now) && isClaimed_;
+    return refuse(reason.code, std::move(reason.text), wasUnsent ? RunState::NotRun : RunState::MayHaveRun, now, table_.options().retryAfter);
 }
 
-ClaimStep ClaimRunner::mayHaveRun(std::string text, TimePoint now)
+ClaimStep ClaimRunner::refuseMayHaveRun(std::string text, TimePoint now)
 {
     return refuse(ResultCode::MayHaveRun, std::move(text), RunState::MayHaveRun, now);
 }
 
-ClaimStep ClaimRunner::keptAnswer(const ClaimAnswer &answer, TimePoint now)
+ClaimStep ClaimRunner::returnKeptAnswer(const ClaimAnswer &answer, TimePoint now)
 {
     if (!answer.isWhole) {
-        return mayHaveRun("the call ran; its answer was too long to be kept", now);
+        return refuseMayHaveRun("the call ran; its answer was too long to be kept", now);
     }
-    table_.abandon(nonce_, now);
+    table_.cancel(nonce_, now);
     answer_ = answer;
     next_ = &ClaimRunner::finished;
     result_ = ClaimStep::Answer;
     return result_;
 }
 
-void ClaimRunner::go(Step step)
+void ClaimRunner::continueWith(Step step)
 {
     next_ = step;
-    result_ = ClaimStep::Again;
+    result_ = ClaimStep::Continue;
 }
 
 } // namespace Lovageloft
--- a/coordination/claim_runner.h
+++ b/coordination/claim_runner.h
@@ -15,9 +15,9 @@
 /// What a runner needs next.
 enum class ClaimStep : std::uint8_t
 {
-    Again, ///< Call step().
-    AskHolder, ///< Send query() to its host; then onHolderReply() or onHolderSilent().
-    Send, ///< Open a connection, then call beginSend() right before the first byte; or abandon().
+    Continue, ///< Call step().
+    AskHolder, ///< Send query() to its host; then onHolderReply() or onHolderTimeout().
+    Send, ///< Open a connection, then call beginSend() right before the first byte; or cancel().
     Wait, ///< Sent: call onAnswer() or onLost() when it is known which.
     Answer, ///< answer() goes to the caller.
     Refuse, ///< reason() and runState() go to the caller.
@@ -44,13 +44,13 @@
     ClaimStep onHolderReply(const ClaimQueryReply &reply, TimePoint now);
 
     /// The holder's host gave no answer in time.
-    ClaimStep onHolderSilent(TimePoint now);
+    ClaimStep onHolderTimeout(TimePoint now);
 
     /// After Send: whether the call may leave now. If not it never will, and the runner refuses.
     bool beginSend(TimePoint now);
 
     /// After Send and before beginSend(): it will not be sent, for this reason.
-    ClaimStep abandon(Reason reason, TimePoint now);
+    ClaimStep cancel(Reason reason, TimePoint now);
 
     /// After beginSend(): the whole answer came on the connection that the call left by.
     ClaimStep onAnswer(ClaimAnswer answer);
@@ -69,21 +69,21 @@
 private:
     using Step = ClaimStep (ClaimRunner::*)(TimePoint);
 
-    ClaimStep renewLease(TimePoint now);
+    ClaimStep acquireLease(TimePoint now);
     ClaimStep writeClaim(TimePoint now);
     ClaimStep readClaim(TimePoint now);
     ClaimStep markUnknown(TimePoint now);
     ClaimStep finished(TimePoint now);
-    ClaimStep inspect(const StoreEntry &entry, TimePoint now);
+    ClaimStep inspectRecord(const StoreEntry &entry, TimePoint now);
     ClaimStep askHolder(const StoreEntry &entry, const ClaimRecord &record, TimePoint now);
-    ClaimStep owned(std::int64_t revision);
+    ClaimStep onClaimWritten(std::int64_t revision);
     ClaimStep onForgotten(TimePoint now);
-    ClaimStep storeFailed(StoreStatus status, TimePoint now);
+    ClaimStep refuseStoreFailure(StoreStatus status, TimePoint now);
     ClaimStep refuse(ResultCode code, std::string text, RunState runState, TimePoint now, Duration retryAfter = {});
-    ClaimStep refuseOwned(Reason reason, TimePoint now);
-    ClaimStep mayHaveRun(std::string text, TimePoint now);
-    ClaimStep keptAnswer(const ClaimAnswer &answer, TimePoint now);
-    void go(Step step);
+    ClaimStep refuseUnsent(Reason reason, TimePoint now);
+    ClaimStep refuseMayHaveRun(std::string text, TimePoint now);
+    ClaimStep returnKeptAnswer(const ClaimAnswer &answer, TimePoint now);
+    void continueWith(Step step);
 
     ClaimTable &table_;
     ClaimLease &lease_;
@@ -92,12 +92,12 @@
     std::string key_;
     std::string nonce_;
     Step next_ = &ClaimRunner::writeClaim;
-    ClaimStep result_ = ClaimStep::Again;
+    ClaimStep result_ = ClaimStep::Continue;
     std::int64_t revision_ = 0; ///< Of the record to be replaced.
     ClaimRecord existing_;
     ClaimQuery query_;
     bool isAdded_ = false;
-    bool isOwned_ = false;
+    bool isClaimed_ = false;
     bool hasReread_ = false;
     int attempts_ = 0;
     ClaimAnswer answer_;
--- a/coordination/claim_table.cpp
+++ b/coordination/claim_table.cpp
@@ -30,7 +30,7 @@
 bool ClaimTable::add(std::string_view nonce, std::string_view key, std::string_view requestDigest)
 {
     const std::lock_guard lock(mutex_);
-    if (entries_.size() >= options_.mostClaims) {
+    if (entries_.size() >= options_.maxClaims) {
         return false;
     }
     Entry entry;
@@ -76,11 +76,11 @@
         return false;
     }
     entry->second.phase = Phase::Sent;
-    entry->second.nextWork = now;
+    entry->second.nextAttemptAt = now;
     return true;
 }
 
-bool ClaimTable::abandon(std::string_view nonce, TimePoint now)
+bool ClaimTable::cancel(std::string_view nonce, TimePoint now)
 {
     const std::lock_guard lock(mutex_);
     const auto entry = entries_.find(nonce);
@@ -91,8 +91,8 @@
         erase(entry);
         return true;
     }
-    entry->second.phase = Phase::Barred;
-    entry->second.nextWork = now;
+    entry->second.phase = Phase::Canceled;
+    entry->second.nextAttemptAt = now;
     return true;
 }
 
@@ -105,7 +105,7 @@
     }
     // Load: the store is down for long while calls go on being answered. Without the limits their answers fill the
     // memory of a small host; an answer that finds no room is only missing for a caller that asks again.
-    const bool hasRoom = answer.body.size() <= options_.largestBody && keptBytes_ + answer.body.size() <= options_.mostKeptBytes;
+    const bool hasRoom = answer.body.size() <= options_.maxBodyBytes && keptBytes_ + answer.body.size() <= options_.maxKeptBytes;
     if (!hasRoom) {
         answer.body.clear();
         answer.isWhole = false;
@@ -137,8 +137,8 @@
         return reply;
     }
     if (isUnsent(entry->second) && entry->second.isWritten && !isValid(entry->second, now)) {
-        entry->second.phase = Phase::Barred;
-        entry->second.nextWork = now;
+        entry->second.phase = Phase::Canceled;
+        entry->second.nextAttemptAt = now;
     }
     switch (entry->second.phase) {
     case Phase::Claiming:
@@ -146,7 +146,7 @@
     case Phase::Sent:
         reply.fate = ClaimFate::Running;
         break;
-    case Phase::Barred:
+    case Phase::Canceled:
         reply.fate = ClaimFate::NeverSent;
         break;
     case Phase::Answered:
@@ -160,27 +160,27 @@
     return reply;
 }
 
-std::optional<ClaimWork> ClaimTable::nextWork(TimePoint now)
+std::optional<ClaimUpdate> ClaimTable::nextUpdate(TimePoint now)
 {
     const std::lock_guard lock(mutex_);
     for (auto entry = entries_.begin(); entry != entries_.end();) {
         const Phase phase = entry->second.phase;
-        const bool isOver = phase == Phase::Answered || phase == Phase::Lost || phase == Phase::Barred;
-        if (!isOver || entry->second.nextWork > now) {
+        const bool hasEnded = phase == Phase::Answered || phase == Phase::Lost || phase == Phase::Canceled;
+        if (!hasEnded || entry->second.nextAttemptAt > now) {
             ++entry;
             continue;
         }
-        if (phase == Phase::Barred && now - entry->second.claimedAt > options_.voidLifetime + options_.validity) {
+        if (phase == Phase::Canceled && now - entry->second.claimedAt > options_.canceledLifetime + options_.validity) {
             const auto old = entry++;
             erase(old);
             continue;
         }
-        return makeWork(entry->first, entry->second);
+        return makeUpdate(entry->first, entry->second);
     }
     return std::nullopt;
 }
 
-void ClaimTable::onWorkDone(std::string_view nonce)
+void ClaimTable::onUpdateDone(std::string_view nonce)
 {
     const std::lock_guard lock(mutex_);
     const auto entry = entries_.find(nonce);
@@ -189,7 +189,7 @@
     }
 }
 
-void ClaimTable::onWorkFailed(std::string_view nonce, std::int64_t revision, TimePoint now)
+void ClaimTable::onUpdateFailed(std::string_view nonce, std::int64_t revision, TimePoint now)
 {
     const std::lock_guard lock(mutex_);
     const auto entry = entries_.find(nonce);
@@ -197,7 +197,7 @@
         return;
     }
     entry->second.revision = revision;
-    entry->second.nextWork = now + options_.recordPause;
+    entry->second.nextAttemptAt = now + options_.recordRetryDelay;
 }
 
 bool ClaimTable::isUnsent(const Entry &entry)
@@ -210,14 +210,14 @@
     return now >= entry.claimedAt && now - entry.claimedAt < options_.validity;
 }
 
-ClaimWork ClaimTable::makeWork(const std::string &nonce, const Entry &entry) const
+ClaimUpdate ClaimTable::makeUpdate(const std::string &nonce, const Entry &entry) const
 {
-    ClaimWork work{nonce, entry.key, entry.revision, entry.leaseId, entry.phase == Phase::Barred, {}};
-    if (!work.isDeletion) {
+    ClaimUpdate update{nonce, entry.key, entry.revision, entry.leaseId, entry.phase == Phase::Canceled, {}};
+    if (!update.isDeletion) {
         const ClaimState state = entry.phase == Phase::Answered ? ClaimState::Answered : ClaimState::Unknown;
-        work.value = formatClaimRecord({state, host_, incarnation_, nonce, entry.requestDigest, entry.leaseId, entry.answer});
+        update.value = formatClaimRecord({state, host_, incarnation_, nonce, entry.requestDigest, entry.leaseId, entry.answer});
     }
-    return work;
+    return update;
 }
 
 void ClaimTable::erase(Entries::iterator entry)
--- a/coordination/claim_table.h
+++ b/coordination/claim_table.h
@@ -18,17 +18,17 @@
 {
     Duration validity = std::chrono::seconds(10); ///< From the first write of a claim to the sending.
     Duration lifetime = std::chrono::hours(24); ///< How long the store keeps a claim at least.
-    Duration leaseShare = std::chrono::hours(1); ///< Claims of this span share one lease.
+    Duration leaseSharingTime = std::chrono::hours(1); ///< Claims of this span share one lease.
     Duration retryAfter = std::chrono::seconds(1); ///< When to come back for a call that is running.
-    Duration recordPause = std::chrono::seconds(1); ///< After a failed attempt to record, before the next.
-    Duration voidLifetime = std::chrono::minutes(10); ///< How long a claim that was never sent is remembered as such.
-    std::size_t mostClaims = 10'000; ///< Claims of this process in memory.
-    std::size_t largestBody = 262'144; ///< Bytes of an answer that are kept; longer ones are not kept at all.
-    std::size_t mostKeptBytes = 67'108'864; ///< Bytes of answers waiting to be recorded.
+    Duration recordRetryDelay = std::chrono::seconds(1); ///< After a failed attempt to record, before the next.
+    Duration canceledLifetime = std::chrono::minutes(10); ///< How long a claim that was never sent is remembered as such.
+    std::size_t maxClaims = 10'000; ///< Claims of this process in memory.
+    std::size_t maxBodyBytes = 262'144; ///< Bytes of an answer that are kept; longer ones are not kept at all.
+    std::size_t maxKeptBytes = 67'108'864; ///< Bytes of answers waiting to be recorded.
 };
 
 /// What has to be done to the store for one claim of this process.
-struct ClaimWork
+struct ClaimUpdate
 {
     std::string nonce;
     std::string key;
@@ -68,7 +68,7 @@
 
     /// Bars a claim that was not sent from ever being sent. False if it had been sent or barred before: then a peer may
     /// have taken the call over and sent it.
-    bool abandon(std::string_view nonce, TimePoint now);
+    bool cancel(std::string_view nonce, TimePoint now);
 
     /// How a sent call ended.
     void onAnswer(std::string_view nonce, ClaimAnswer answer);
@@ -78,20 +78,20 @@
     ClaimQueryReply onQuery(const ClaimQuery &query, TimePoint now);
 
     /// The next claim whose end is to be written to the store, if one is due.
-    std::optional<ClaimWork> nextWork(TimePoint now);
+    std::optional<ClaimUpdate> nextUpdate(TimePoint now);
 
     /// The work is done or pointless: the claim is forgotten.
-    void onWorkDone(std::string_view nonce);
+    void onUpdateDone(std::string_view nonce);
 
     /// The work failed and is tried again later, on the record of `revision` (0: look it up).
-    void onWorkFailed(std::string_view nonce, std::int64_t revision, TimePoint now);
+    void onUpdateFailed(std::string_view nonce, std::int64_t revision, TimePoint now);
 
 private:
     enum class Phase : std::uint8_t
     {
         Claiming,
         Held,
-        Barred,
+        Canceled,
         Sent,
         Answered,
         Lost,
@@ -106,7 +106,7 @@
         std::int64_t revision = 0;
         std::int64_t leaseId = 0;
         TimePoint claimedAt;
-        TimePoint nextWork;
+        TimePoint nextAttemptAt;
         ClaimAnswer answer;
     };
 
@@ -114,7 +114,7 @@
 
     static bool isUnsent(const Entry &entry);
     bool isValid(const Entry &entry, TimePoint now) const;
-    ClaimWork makeWork(const std::string &nonce, const Entry &entry) const;
+    ClaimUpdate makeUpdate(const std::string &nonce, const Entry &entry) const;
     void erase(Entries::iterator entry);
 
     std::string host_;
--- a/coordination/order_scheduler.cpp
+++ b/coordination/order_scheduler.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-constexpr int mostDoublings = 5;
+constexpr int maxRetryDoublings = 5;
 
 /// Part of a newer round in the mean: drains differ by their longest answer, and three rounds are seen within seconds.
-constexpr double newestRound = 0.3;
+constexpr double roundSmoothing = 0.3;
 
 /// How much longer than the mean a round is reckoned: the engine whose answers run longest decides when a batch has ended.
-constexpr double longestToMean = 1.25;
+constexpr double roundSafetyFactor = 1.25;
 
 bool isSameState(const EngineState &left, const EngineState &right)
 {
@@ -26,20 +26,20 @@
 
 OrderScheduler::OrderScheduler(OrderOptions options)
     : options_(options)
-    , roundSeconds_(toSeconds(options.usualRound))
+    , roundSeconds_(toSeconds(options.initialRoundTime))
 {
 }
 
-void OrderScheduler::setWanted(std::span<const WantedEngine> wanted, TimePoint now)
+void OrderScheduler::setDesired(std::span<const DesiredEngine> desired, TimePoint now)
 {
     std::map<std::string, Engine, std::less<>> engines;
-    for (const WantedEngine &engine : wanted) {
-        auto known = engines_.extract(engine.target);
-        Engine &kept = known.empty() ? engines[engine.target] : engines.insert(std::move(known)).position->second;
-        const bool isNews = engine.announced && (!kept.wanted.announced || !isSameState(*engine.announced, *kept.wanted.announced));
-        kept.wanted = engine;
-        if (isNews) {
-            takeAnnounced(kept, now);
+    for (const DesiredEngine &engine : desired) {
+        auto existing = engines_.extract(engine.target);
+        Engine &entry = existing.empty() ? engines[engine.target] : engines.insert(std::move(existing)).position->second;
+        const bool isNewAnnouncement = engine.announced && (!entry.desired.announced || !isSameState(*engine.announced, *entry.desired.announced));
+        entry.desired = engine;
+        if (isNewAnnouncement) {
+            applyAnnounced(entry, now);
         }
     }
     engines_ = std::move(engines);
@@ -58,8 +58,8 @@
     if (isSuperseded_) {
         return plan;
     }
-    std::size_t loading = loads(now);
-    mostAtOnce_ = mostAtOnce(now);
+    std::size_t loading = countLoads(now);
+    maxConcurrentLoads_ = maxConcurrentLoads(now);
     for (Engine *engine : longestOutdatedFirst(now)) {
         planOrder(*engine, lease, plan, loading, now);
     }
@@ -75,11 +75,11 @@
 {
     std::vector<Engine *> outdated;
     for (auto &[target, engine] : engines_) {
-        if (!engine.isSeen) {
+        if (!engine.isObserved) {
             outdated.push_back(&engine);
             continue;
         }
-        if (!difference(engine)) {
+        if (!requiredOrder(engine)) {
             engine.outdatedSince.reset();
             continue;
         }
@@ -100,12 +100,12 @@
         return false;
     }
     const auto engine = engines_.find(order.target);
-    if (engine == engines_.end() || !engine->second.open || engine->second.open->order.id != order.id) {
+    if (engine == engines_.end() || !engine->second.pending || engine->second.pending->order.id != order.id) {
         return false;
     }
-    const auto needed = difference(engine->second);
-    const bool isYoung = now - engine->second.open->madeAt < options_.orderValidity;
-    return isYoung && needed && needed->isSameAs(order) && isSettled(engine->second, lease, now);
+    const auto required = requiredOrder(engine->second);
+    const bool isValid = now - engine->second.pending->createdAt < options_.orderValidity;
+    return isValid && required && required->isSameAs(order) && isSettled(engine->second, lease, now);
 }
 
 void OrderScheduler::onOutcome(const Order &order, OrderOutcome outcome, TimePoint now)
@@ -114,40 +114,40 @@
         isSuperseded_ = true;
     }
     const auto engine = engines_.find(order.target);
-    if (engine != engines_.end() && engine->second.open && engine->second.open->order.id == order.id) {
+    if (engine != engines_.end() && engine->second.pending && engine->second.pending->order.id == order.id) {
         closeOrder(engine->second, now);
         if (outcome == OrderOutcome::Accepted) {
-            engine->second.readSince = now + options_.reportLag;
-            engine->second.nextRead = now + options_.reportLag;
+            engine->second.readsValidSince = now + options_.maxReportAge;
+            engine->second.nextReadAt = now + options_.maxReportAge;
         }
     }
 }
 
-void OrderScheduler::onOrderOfOther(std::string_view target, TimePoint now)
+void OrderScheduler::onOrderByOther(std::string_view target, TimePoint now)
 {
     const auto engine = engines_.find(target);
     if (engine != engines_.end()) {
-        engine->second.orderedByOther = now;
+        engine->second.orderedByOtherAt = now;
     }
 }
 
 void OrderScheduler::onState(std::string_view target, const EngineState &state, TimePoint now)
 {
     const auto found = engines_.find(target);
-    if (found == engines_.end() || !found->second.readAskedAt) {
+    if (found == engines_.end() || !found->second.readRequestedAt) {
         return;
     }
     Engine &engine = found->second;
-    const bool isCurrent = *engine.readAskedAt >= engine.readSince && !engine.open;
-    engine.readAskedAt.reset();
+    const bool isCurrent = *engine.readRequestedAt >= engine.readsValidSince && !engine.pending;
+    engine.readRequestedAt.reset();
     if (!isCurrent) {
-        engine.nextRead = now;
+        engine.nextReadAt = now;
         return;
     }
-    engine.seen = state;
-    engine.isSeen = true;
+    engine.observed = state;
+    engine.isObserved = true;
     engine.loadingUntil = state.isLoading ? now + options_.loadTimeout : TimePoint{};
-    engine.nextRead = now + (state.isLoading ? options_.loadPause : options_.checkPause);
+    engine.nextReadAt = now + (state.isLoading ? options_.loadPollInterval : options_.pollInterval);
 }
 
 void OrderScheduler::startLeading(std::int64_t token, TimePoint now)
@@ -155,114 +155,114 @@
     token_ = token;
     isSuperseded_ = false;
     for (auto &[target, engine] : engines_) {
-        const WantedEngine wanted = engine.wanted;
-        const auto orderedByOther = engine.orderedByOther;
+        const DesiredEngine desired = engine.desired;
+        const auto orderedByOtherAt = engine.orderedByOtherAt;
         engine = {};
-        engine.wanted = wanted;
-        engine.orderedByOther = orderedByOther;
-        engine.readSince = now;
+        engine.desired = desired;
+        engine.orderedByOtherAt = orderedByOtherAt;
+        engine.readsValidSince = now;
         // The leader before may have started loads here: each engine counts as loading until it has been read.
         engine.loadingUntil = now + options_.loadTimeout;
-        if (wanted.announced) {
-            takeAnnounced(engine, now);
+        if (desired.announced) {
+            applyAnnounced(engine, now);
         }
     }
 }
 
 /// An engine announces its state when it changes. So a load has ended once it says so, whatever its reports show.
-void OrderScheduler::takeAnnounced(Engine &engine, TimePoint now)
+void OrderScheduler::applyAnnounced(Engine &engine, TimePoint now)
 {
-    if (engine.open) {
+    if (engine.pending) {
         return;
     }
-    if (engine.chosenAt) {
-        roundSeconds_ += newestRound * (toSeconds(now - *engine.chosenAt) - roundSeconds_);
-        engine.chosenAt.reset();
+    if (engine.selectedAt) {
+        roundSeconds_ += roundSmoothing * (toSeconds(now - *engine.selectedAt) - roundSeconds_);
+        engine.selectedAt.reset();
     }
-    engine.seen = *engine.wanted.announced;
-    engine.isSeen = true;
+    engine.observed = *engine.desired.announced;
+    engine.isObserved = true;
     engine.loadingUntil = {};
-    engine.noticedAt.reset();
-    engine.readAskedAt.reset();
-    engine.nextRead = std::max(engine.nextRead, now + options_.checkPause);
+    engine.noticeSentAt.reset();
+    engine.readRequestedAt.reset();
+    engine.nextReadAt = std::max(engine.nextReadAt, now + options_.pollInterval);
 }
 
 void OrderScheduler::planRead(Engine &engine, std::vector<std::string> &reads, TimePoint now) const
 {
-    const bool isWaiting = engine.readAskedAt && now - *engine.readAskedAt < options_.answerTimeout;
-    if (isWaiting || engine.open || now < engine.nextRead) {
+    const bool isReading = engine.readRequestedAt && now - *engine.readRequestedAt < options_.answerTimeout;
+    if (isReading || engine.pending || now < engine.nextReadAt) {
         return;
     }
-    engine.readAskedAt = now;
-    reads.push_back(engine.wanted.target);
+    engine.readRequestedAt = now;
+    reads.push_back(engine.desired.target);
 }
 
 void OrderScheduler::planOrder(Engine &engine, const LeaseHolder &lease, OrderPlan &plan, std::size_t &loading, TimePoint now)
 {
-    if (engine.open && now - engine.open->madeAt >= options_.answerTimeout) {
+    if (engine.pending && now - engine.pending->createdAt >= options_.answerTimeout) {
         closeOrder(engine, now);
     }
-    const bool isReady = engine.isSeen && !engine.seen.isLoading && !engine.open && isSettled(engine, lease, now);
+    const bool isReady = engine.isObserved && !engine.observed.isLoading && !engine.pending && isSettled(engine, lease, now);
     if (!isReady) {
         return;
     }
-    auto order = difference(engine);
+    auto order = requiredOrder(engine);
     const bool isRepeat = order && order->isSameAs(engine.lastOrder);
-    if (!order || (isRepeat && now < engine.nextRepeat)) {
+    if (!order || (isRepeat && now < engine.nextRepeatAt)) {
         return;
     }
-    if (order->kind == OrderKind::LoadWeights && !mayLoadNow(engine, plan, loading, now)) {
+    if (order->kind == OrderKind::LoadWeights && !prepareLoad(engine, plan, loading, now)) {
         return;
     }
-    engine.failures = isRepeat ? std::min(engine.failures + 1, mostDoublings) : 0;
+    engine.repeats = isRepeat ? std::min(engine.repeats + 1, maxRetryDoublings) : 0;
     engine.lastOrder = *order;
     order->id = ++lastOrder_;
     order->fencingToken = token_;
-    engine.open = OpenOrder{*order, now};
+    engine.pending = PendingOrder{*order, now};
     plan.orders.push_back(std::move(*order));
 }
 
 /// Whether there is room for one more load and its notice is old enough. What goes wrong without a notice: requests that wait in the
 /// engine when the order comes are declined, and go to another engine that has its turn next.
-bool OrderScheduler::mayLoadNow(Engine &engine, OrderPlan &plan, std::size_t &loading, TimePoint now) const
+bool OrderScheduler::prepareLoad(Engine &engine, OrderPlan &plan, std::size_t &loading, TimePoint now) const
 {
     // A notice keeps its room for as long as it counts as a load: an engine that could not be ordered for longer has to find room anew.
-    const bool hasRoom = engine.noticedAt && engine.loadingUntil > now;
+    const bool hasRoom = engine.noticeSentAt && engine.loadingUntil > now;
     if (!hasRoom) {
-        if (loading >= mostAtOnce_) {
+        if (loading >= maxConcurrentLoads_) {
             return false;
         }
-        engine.chosenAt = now;
+        engine.selectedAt = now;
         if (options_.loadNotice > Duration::zero()) {
-            engine.noticedAt = now;
-            plan.notices.push_back(engine.wanted.target);
+            engine.noticeSentAt = now;
+            plan.loadNotices.push_back(engine.desired.target);
         }
     }
     loading += engine.loadingUntil > now ? 0 : 1;
     engine.loadingUntil = now + options_.loadTimeout;
-    if (engine.noticedAt && now - *engine.noticedAt < options_.loadNotice) {
+    if (engine.noticeSentAt && now - *engine.noticeSentAt < options_.loadNotice) {
         return false;
     }
-    engine.noticedAt.reset();
+    engine.noticeSentAt.reset();
     return true;
 }
 
-std::optional<Order> OrderScheduler::difference(const Engine &engine) const
+std::optional<Order> OrderScheduler::requiredOrder(const Engine &engine) const
 {
-    const EngineState &wanted = engine.wanted.state;
-    const EngineState &seen = engine.seen;
-    const bool hasModel = wanted.model.empty() || wanted.model == seen.model;
-    const bool hasWeights = wanted.weightsVersion.empty() || wanted.weightsVersion == seen.weightsVersion;
+    const EngineState &desired = engine.desired.state;
+    const EngineState &observed = engine.observed;
+    const bool hasModel = desired.model.empty() || desired.model == observed.model;
+    const bool hasWeights = desired.weightsVersion.empty() || desired.weightsVersion == observed.weightsVersion;
     if (!hasModel || !hasWeights) {
-        return Order{0, engine.wanted.target, OrderKind::LoadWeights, wanted.model, wanted.weightsVersion, 0};
+        return Order{0, engine.desired.target, OrderKind::LoadWeights, desired.model, desired.weightsVersion, 0};
     }
-    for (const std::string &adapter : wanted.adapters) {
-        if (std::find(seen.adapters.begin(), seen.adapters.end(), adapter) == seen.adapters.end()) {
-            return Order{0, engine.wanted.target, OrderKind::LoadAdapter, wanted.model, adapter, 0};
+    for (const std::string &adapter : desired.adapters) {
+        if (std::find(observed.adapters.begin(), observed.adapters.end(), adapter) == observed.adapters.end()) {
+            return Order{0, engine.desired.target, OrderKind::LoadAdapter, desired.model, adapter, 0};
         }
     }
-    if (!wanted.role.empty() && wanted.role != seen.role) {
-        return Order{0, engine.wanted.target, OrderKind::SetRole, {}, wanted.role, 0};
+    if (!desired.role.empty() && desired.role != observed.role) {
+        return Order{0, engine.desired.target, OrderKind::SetRole, {}, desired.role, 0};
     }
     return std::nullopt;
 }
@@ -271,28 +271,28 @@
 /// for seconds, leave more rounds than fit before the deadline, from when on an engine that still waits for its turn serves nobody:
 /// ten of fourteen stood idle while the four that were done were overrun. So as many go at once as the time that is left calls
 /// for, going by how long a round has taken lately.
-std::size_t OrderScheduler::mostAtOnce(TimePoint now) const
+std::size_t OrderScheduler::maxConcurrentLoads(TimePoint now) const
 {
     std::size_t outdated = 0;
-    std::optional<TimePoint> due;
+    std::optional<TimePoint> earliestDue;
     for (const auto &[target, engine] : engines_) {
-        if (!engine.isSeen || !engine.wanted.dueAt || !difference(engine)) {
+        if (!engine.isObserved || !engine.desired.dueAt || !requiredOrder(engine)) {
             continue;
         }
         ++outdated;
-        due = std::min(due.value_or(*engine.wanted.dueAt), *engine.wanted.dueAt);
+        earliestDue = std::min(earliestDue.value_or(*engine.desired.dueAt), *engine.desired.dueAt);
     }
-    const auto share = static_cast<std::size_t>(options_.loadShare * static_cast<double>(engines_.size()));
-    const std::size_t usual = std::max(options_.mostLoads, share);
-    if (!due) {
-        return usual;
+    const auto limitByFraction = static_cast<std::size_t>(options_.maxLoadFraction * static_cast<double>(engines_.size()));
+    const std::size_t normalLimit = std::max(options_.maxLoads, limitByFraction);
+    if (!earliestDue) {
+        return normalLimit;
     }
-    const double round = roundSeconds_ * longestToMean;
-    const double rounds = std::max(1.0, toSeconds(*due - now) / round);
-    return std::max(usual, static_cast<std::size_t>(std::ceil(static_cast<double>(outdated) / rounds)));
+    const double round = roundSeconds_ * roundSafetyFactor;
+    const double rounds = std::max(1.0, toSeconds(*earliestDue - now) / round);
+    return std::max(normalLimit, static_cast<std::size_t>(std::ceil(static_cast<double>(outdated) / rounds)));
 }
 
-std::size_t OrderScheduler::loads(TimePoint now) const
+std::size_t OrderScheduler::countLoads(TimePoint now) const
 {
     return static_cast<std::size_t>(std::count_if(engines_.begin(), engines_.end(), [now](const auto &engine) { return engine.second.loadingUntil > now; }));
 }
@@ -302,20 +302,20 @@
     // Orders of the holder before may still be on their way. An engine that checks tokens refuses them once it has seen
     // ours; with one that does not we wait until none can come. An engine that the holder before was heard to order gets a longer pause,
     // so that two holders don't take turns at it.
-    const bool isTurn = now < std::max(engine.orderedByOther.value_or(TimePoint{}), options_.hearsSince) + options_.turnPause;
-    return engine.wanted.checksFencing || (now >= lease.settledAt() && !isTurn);
+    const bool isHandover = now < std::max(engine.orderedByOtherAt.value_or(TimePoint{}), options_.listeningSince) + options_.handoverDelay;
+    return engine.desired.checksFencing || (now >= lease.settledAt() && !isHandover);
 }
 
 void OrderScheduler::closeOrder(Engine &engine, TimePoint now) const
 {
-    engine.open.reset();
+    engine.pending.reset();
     // Whatever the answer says, only the engine's state tells what came of the order: answers get lost and engines revert.
-    engine.isSeen = false;
-    engine.readSince = now;
-    engine.nextRead = now;
+    engine.isObserved = false;
+    engine.readsValidSince = now;
+    engine.nextReadAt = now;
     // An accepted order is repeated no sooner than a refused one: an engine that reverts each time, or has not begun
     // to load yet, would be made to load without end.
-    engine.nextRepeat = now + options_.retryPause * (1 << engine.failures);
+    engine.nextRepeatAt = now + options_.retryDelay * (1 << engine.repeats);
 }
 
 } // namespace Lovageloft
--- a/coordination/order_scheduler.h
+++ b/coordination/order_scheduler.h
@@ -24,7 +24,7 @@
     bool isLoading = false; ///< Reported only: it is loading weights now.
 };
 
-struct WantedEngine
+struct DesiredEngine
 {
     std::string target;
     bool checksFencing = false; ///< Whether it refuses an order with an old fencing token.
@@ -68,26 +68,26 @@
 struct OrderPlan
 {
     std::vector<std::string> reads; ///< Targets whose state is to be read.
-    std::vector<std::string> notices; ///< Targets that will be ordered to load soon: nothing new is to be sent to them.
+    std::vector<std::string> loadNotices; ///< Targets that will be ordered to load soon: nothing new is to be sent to them.
     std::vector<Order> orders;
     bool isSuperseded = false; ///< Release the lease: another host leads.
 };
 
 struct OrderOptions
 {
-    std::size_t mostLoads = 3; ///< Weight loads at once; the weight store slows all of them down beyond that.
-    double loadShare = 0; ///< Part of the engines that may load at once where that is more than `mostLoads`.
+    std::size_t maxLoads = 3; ///< Weight loads at once; the weight store slows all of them down beyond that.
+    double maxLoadFraction = 0; ///< Part of the engines that may load at once where that is more than `maxLoads`.
     Duration orderValidity = std::chrono::seconds(1); ///< From the decision to the sending.
     Duration answerTimeout = std::chrono::seconds(5); ///< Wait for an answer to an order or a read.
     Duration loadTimeout = std::chrono::seconds(30); ///< A load not seen to end counts that long.
-    Duration loadPause = std::chrono::milliseconds(200); ///< Between looks at an engine that is loading.
-    Duration usualRound = std::chrono::seconds(2); ///< From the choice of an engine until it has loaded, before any was seen.
-    Duration turnPause{}; ///< After another holder's order to an engine that doesn't check tokens.
-    TimePoint hearsSince{}; ///< Since when orders of others are heard; before that any engine may have got one.
+    Duration loadPollInterval = std::chrono::milliseconds(200); ///< Between looks at an engine that is loading.
+    Duration initialRoundTime = std::chrono::seconds(2); ///< From the choice of an engine until it has loaded, before any was seen.
+    Duration handoverDelay{}; ///< After another holder's order to an engine that doesn't check tokens.
+    TimePoint listeningSince{}; ///< Since when orders of others are heard; before that any engine may have got one.
     Duration loadNotice{}; ///< Between the notice that an engine is going to load and the order; zero for no notice.
-    Duration checkPause = std::chrono::seconds(5); ///< Between looks at an engine that is as wanted.
-    Duration reportLag{}; ///< How old what an engine reports may be: a report that soon after an order still shows the state before.
-    Duration retryPause = std::chrono::seconds(1); ///< Before the same order is given again; doubles up to 32 times.
+    Duration pollInterval = std::chrono::seconds(5); ///< Between looks at an engine that is as wanted.
+    Duration maxReportAge{}; ///< How old what an engine reports may be: a report that soon after an order still shows the state before.
+    Duration retryDelay = std::chrono::seconds(1); ///< Before the same order is given again; doubles up to 32 times.
 };
 
 /// Brings the engines to the configured state while this host holds the lease, and keeps them there.
@@ -101,7 +101,7 @@
     explicit OrderScheduler(OrderOptions options = {});
 
     /// The whole configured state; engines not named get no orders.
-    void setWanted(std::span<const WantedEngine> wanted, TimePoint now);
+    void setDesired(std::span<const DesiredEngine> desired, TimePoint now);
 
     /// What is due. Without the lease nothing is.
     OrderPlan plan(const LeaseHolder &lease, TimePoint now);
@@ -113,48 +113,48 @@
     void onOutcome(const Order &order, OrderOutcome outcome, TimePoint now);
 
     /// Another holder has ordered, or is about to order, this engine.
-    void onOrderOfOther(std::string_view target, TimePoint now);
+    void onOrderByOther(std::string_view target, TimePoint now);
 
     /// The answer to a read.
     void onState(std::string_view target, const EngineState &state, TimePoint now);
 
 private:
-    struct OpenOrder
+    struct PendingOrder
     {
         Order order;
-        TimePoint madeAt;
+        TimePoint createdAt;
     };
 
     struct Engine
     {
-        WantedEngine wanted;
-        EngineState seen;
-        bool isSeen = false; ///< Read since the last order to it and since this host leads.
-        TimePoint readSince; ///< A read asked for before this tells nothing.
-        std::optional<TimePoint> readAskedAt;
-        TimePoint nextRead;
+        DesiredEngine desired;
+        EngineState observed;
+        bool isObserved = false; ///< Read since the last order to it and since this host leads.
+        TimePoint readsValidSince; ///< A read asked for before this tells nothing.
+        std::optional<TimePoint> readRequestedAt;
+        TimePoint nextReadAt;
         Order lastOrder;
-        TimePoint nextRepeat; ///< When the last order may be given again.
+        TimePoint nextRepeatAt; ///< When the last order may be given again.
         TimePoint loadingUntil;
-        std::optional<TimePoint> noticedAt; ///< When the notice of the load that is due went out.
-        std::optional<TimePoint> chosenAt; ///< When it got its turn to load; until it has loaded.
-        std::optional<TimePoint> orderedByOther; ///< When another holder was last heard to order it.
+        std::optional<TimePoint> noticeSentAt; ///< When the notice of the load that is due went out.
+        std::optional<TimePoint> selectedAt; ///< When it got its turn to load; until it has loaded.
+        std::optional<TimePoint> orderedByOtherAt; ///< When another holder was last heard to order it.
         std::optional<TimePoint> outdatedSince; ///< Since when it has not been as wanted; kept while what is wanted changes again.
-        std::optional<OpenOrder> open;
-        int failures = 0;
+        std::optional<PendingOrder> pending;
+        int repeats = 0;
     };
 
     void startLeading(std::int64_t token, TimePoint now);
     std::vector<Engine *> longestOutdatedFirst(TimePoint now);
     void planRead(Engine &engine, std::vector<std::string> &reads, TimePoint now) const;
     void planOrder(Engine &engine, const LeaseHolder &lease, OrderPlan &plan, std::size_t &loading, TimePoint now);
-    bool mayLoadNow(Engine &engine, OrderPlan &plan, std::size_t &loading, TimePoint now) const;
-    std::optional<Order> difference(const Engine &engine) const;
-    std::size_t loads(TimePoint now) const;
-    std::size_t mostAtOnce(TimePoint now) const;
+    bool prepareLoad(Engine &engine, OrderPlan &plan, std::size_t &loading, TimePoint now) const;
+    std::optional<Order> requiredOrder(const Engine &engine) const;
+    std::size_t countLoads(TimePoint now) const;
+    std::size_t maxConcurrentLoads(TimePoint now) const;
     bool isSettled(const Engine &engine, const LeaseHolder &lease, TimePoint now) const;
     void closeOrder(Engine &engine, TimePoint now) const;
-    void takeAnnounced(Engine &engine, TimePoint now);
+    void applyAnnounced(Engine &engine, TimePoint now);
 
     OrderOptions options_;
     std::map<std::string, Engine, std::less<>> engines_;
@@ -162,7 +162,7 @@
     bool isSuperseded_ = false;
     std::uint64_t lastOrder_ = 0;
     double roundSeconds_; ///< Mean of the last rounds seen, each from the choice of an engine until it had loaded.
-    std::size_t mostAtOnce_ = 0; ///< As of this plan.
+    std::size_t maxConcurrentLoads_ = 0; ///< As of this plan.
 };
 
 } // namespace Lovageloft
--- a/coordination/share_bucket.cpp
+++ b/coordination/share_bucket.cpp
@@ -6,7 +6,7 @@
 {
 
 ShareBucket::ShareBucket(TimePoint start)
-    : filled_(start)
+    : refilledAt_(start)
 {
 }
 
@@ -39,7 +39,7 @@
     return burst_;
 }
 
-bool ShareBucket::take(double amount, TimePoint now)
+bool ShareBucket::consume(double amount, TimePoint now)
 {
     refill(now);
     if (level_ + tokenTolerance < amount) {
@@ -49,7 +49,7 @@
     return true;
 }
 
-double ShareBucket::reserve(double amount, TimePoint until, std::uint64_t id, TimePoint now)
+double ShareBucket::reserve(double amount, TimePoint expiresAt, std::uint64_t id, TimePoint now)
 {
     refill(now);
     const double granted = std::clamp(amount, 0.0, std::max(level_, 0.0));
@@ -58,18 +58,19 @@
     }
     level_ -= granted;
     reserved_ += granted;
-    const auto later = std::find_if(reservations_.rbegin(), reservations_.rend(), [until](const Reservation &other) { return other.until <= until; });
-    reservations_.insert(later.base(), {id, granted, until});
+    const auto later =
+        std::find_if(reservations_.rbegin(), reservations_.rend(), [expiresAt](const Reservation &other) { return other.expiresAt <= expiresAt; });
+    reservations_.insert(later.base(), {id, granted, expiresAt});
     return granted;
 }
 
-void ShareBucket::use(std::uint64_t id, TimePoint now)
+void ShareBucket::commit(std::uint64_t id, TimePoint now)
 {
     refill(now);
     removeReservation(id);
 }
 
-double ShareBucket::giveBack(std::uint64_t id, TimePoint now)
+double ShareBucket::release(std::uint64_t id, TimePoint now)
 {
     refill(now);
     const double amount = removeReservation(id);
@@ -92,10 +93,10 @@
     level_ -= std::max(amount, 0.0);
 }
 
-void ShareBucket::skipRefill(TimePoint lapse, TimePoint now)
+void ShareBucket::skipRefill(TimePoint from, TimePoint now)
 {
-    refill(std::min(lapse, now));
-    filled_ = std::max(filled_, now);
+    refill(std::min(from, now));
+    refilledAt_ = std::max(refilledAt_, now);
 }
 
 void ShareBucket::clear(TimePoint now)
@@ -107,8 +108,8 @@
 void ShareBucket::refill(TimePoint now)
 {
     // Each reservation holds its room back until its own end, however long the host slept past it.
-    while (!reservations_.empty() && reservations_.front().until <= now) {
-        refillTo(reservations_.front().until);
+    while (!reservations_.empty() && reservations_.front().expiresAt <= now) {
+        refillTo(reservations_.front().expiresAt);
         reserved_ -= reservations_.front().amount;
         reservations_.pop_front();
     }
@@ -120,11 +121,11 @@
 
 void ShareBucket::refillTo(TimePoint time)
 {
-    if (time <= filled_) {
+    if (time <= refilledAt_) {
         return;
     }
-    level_ += rate_ * toSeconds(time - filled_);
-    filled_ = time;
+    level_ += rate_ * toSeconds(time - refilledAt_);
+    refilledAt_ = time;
     capLevel();
 }
 
--- a/coordination/share_bucket.h
+++ b/coordination/share_bucket.h
@@ -36,16 +36,16 @@
     double burst() const;
 
     /// Spends at once. False and nothing done if the level is too low.
-    bool take(double amount, TimePoint now);
+    bool consume(double amount, TimePoint now);
 
-    /// Debits up to `amount`, to be used before `until` or returned; returns what was debited, at least 0.
-    double reserve(double amount, TimePoint until, std::uint64_t id, TimePoint now);
+    /// Debits up to `amount`, to be used before `expiresAt` or returned; returns what was debited, at least 0.
+    double reserve(double amount, TimePoint expiresAt, std::uint64_t id, TimePoint now);
 
     /// The reserved tokens were used: they no longer take room. Nothing happens for an id that is not reserved any more.
-    void use(std::uint64_t id, TimePoint now);
+    void commit(std::uint64_t id, TimePoint now);
 
     /// Puts reserved tokens back that will never be used; returns how many, 0 once their time has passed.
-    double giveBack(std::uint64_t id, TimePoint now);
+    double release(std::uint64_t id, TimePoint now);
 
     /// Returns tokens charged for more than was used, up to the size; the rest is lost.
     double refund(double amount, TimePoint now);
@@ -53,8 +53,8 @@
     /// Charges what was used beyond the estimate; the level may become negative.
     void charge(double amount, TimePoint now);
 
-    /// Gives no refill for the time from `lapse` to `now`.
-    void skipRefill(TimePoint lapse, TimePoint now);
+    /// Gives no refill for the time from `from` to `now`.
+    void skipRefill(TimePoint from, TimePoint now);
 
     /// Takes all tokens away. What is reserved stays so.
     void clear(TimePoint now);
@@ -64,7 +64,7 @@
     {
         std::uint64_t id = 0;
         double amount = 0;
-        TimePoint until;
+        TimePoint expiresAt;
     };
 
     void refill(TimePoint now);
@@ -76,8 +76,8 @@
     double burst_ = 0;
     double level_ = 0;
     double reserved_ = 0;
-    TimePoint filled_;
-    std::deque<Reservation> reservations_; // In the order of `until`.
+    TimePoint refilledAt_;
+    std::deque<Reservation> reservations_; // In the order of `expiresAt`.
 };
 
 } // namespace Lovageloft
--- a/coordination/share_hint.cpp
+++ b/coordination/share_hint.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr int mostDoublings = 3;
+constexpr int maxBackoffDoublings = 3;
 
 } // namespace
 
@@ -20,35 +20,35 @@
 
 double ShareHint::estimate(TimePoint now) const
 {
-    if (isSilent(now)) {
+    if (isInBackoff(now)) {
         return 0;
     }
-    if (!isKnown_) {
-        return std::max(burst_ - asked_, 0.0);
+    if (!hasReply_) {
+        return std::max(burst_ - requested_, 0.0);
     }
-    const TimePoint split = std::clamp(reservedUntil_, seenAt_, std::max(now, seenAt_));
-    const double crowded = std::min(balance_ + rate_ * toSeconds(split - seenAt_), std::max(burst_ - reserved_, balance_));
-    const double balance = std::min(crowded + rate_ * toSeconds(now - split), burst_);
-    return std::max(balance - asked_, 0.0);
+    const TimePoint reservationsEnd = std::clamp(reservedUntil_, observedAt_, std::max(now, observedAt_));
+    const double balanceAtReservationsEnd = std::min(balance_ + rate_ * toSeconds(reservationsEnd - observedAt_), std::max(burst_ - reserved_, balance_));
+    const double balance = std::min(balanceAtReservationsEnd + rate_ * toSeconds(now - reservationsEnd), burst_);
+    return std::max(balance - requested_, 0.0);
 }
 
-double ShareHint::greatest(TimePoint now, Duration age) const
+double ShareHint::upperBound(TimePoint now, Duration maxAge) const
 {
-    if (isSilent(now)) {
+    if (isInBackoff(now)) {
         return 0;
     }
-    const bool isOld = !isKnown_ || now - seenAt_ > age;
-    return isOld ? std::max(burst_ - asked_, 0.0) : estimate(now);
+    const bool isOld = !hasReply_ || now - observedAt_ > maxAge;
+    return isOld ? std::max(burst_ - requested_, 0.0) : estimate(now);
 }
 
 bool ShareHint::isSuspect() const
 {
-    return timeouts_ > 0;
+    return consecutiveTimeouts_ > 0;
 }
 
-bool ShareHint::isSilent(TimePoint now) const
+bool ShareHint::isInBackoff(TimePoint now) const
 {
-    return now < silentUntil_;
+    return now < backoffUntil_;
 }
 
 double ShareHint::rate() const
@@ -61,21 +61,21 @@
     return burst_;
 }
 
-void ShareHint::onAsked(double amount)
+void ShareHint::onRequested(double amount)
 {
-    asked_ += amount;
+    requested_ += amount;
 }
 
-void ShareHint::onReply(double asked, double balance, double reserved, TimePoint reservedUntil, TimePoint now)
+void ShareHint::onReply(double requested, double balance, double reserved, TimePoint reservedUntil, TimePoint now)
 {
-    asked_ = std::max(asked_ - asked, 0.0);
+    requested_ = std::max(requested_ - requested, 0.0);
     balance_ = balance;
     reserved_ = reserved;
     reservedUntil_ = reservedUntil;
-    seenAt_ = now;
-    isKnown_ = true;
-    timeouts_ = 0;
-    silentUntil_ = {};
+    observedAt_ = now;
+    hasReply_ = true;
+    consecutiveTimeouts_ = 0;
+    backoffUntil_ = {};
 }
 
 void ShareHint::onReturned(double amount)
@@ -84,15 +84,15 @@
     reserved_ = std::max(reserved_ - amount, 0.0);
 }
 
-void ShareHint::onUnanswered(double asked)
+void ShareHint::onRequestAbandoned(double requested)
 {
-    asked_ = std::max(asked_ - asked, 0.0);
+    requested_ = std::max(requested_ - requested, 0.0);
 }
 
-void ShareHint::onTimeout(Duration pause, TimePoint now)
+void ShareHint::onTimeout(Duration initialBackoff, TimePoint now)
 {
-    silentUntil_ = now + pause * (1 << std::min(timeouts_, mostDoublings));
-    ++timeouts_;
+    backoffUntil_ = now + initialBackoff * (1 << std::min(consecutiveTimeouts_, maxBackoffDoublings));
+    ++consecutiveTimeouts_;
 }
 
 } // namespace Lovageloft
--- a/coordination/share_ledger.cpp
+++ b/coordination/share_ledger.cpp
@@ -15,25 +15,25 @@
 
 /// Each round asks the home believed to be fullest, and its reply corrects the belief: with up to 12 homes about as many
 /// rounds find all that there is. With 3 rounds 2.6% of a team's tokens were refused inside its rate, with 10 under half of that.
-constexpr int mostRounds = 10;
+constexpr int maxRounds = 10;
 
-/// A request that would leave less than `ownKept` of this host's burst goes to a home that is full to `overflowing` of its
+/// A request that would leave less than `minLocalFill` of this host's burst goes to a home that is full to `nearlyFull` of its
 /// own, if there is one: it costs the request a round trip and saves the team the refill that the full home would lose.
-constexpr double ownKept = 0.5;
-constexpr double overflowing = 0.9;
+constexpr double minLocalFill = 0.5;
+constexpr double nearlyFull = 0.9;
 
 /// Beliefs about homes are lowered by up to this part, at random, before the fullest is chosen. Without that all hosts
 /// that have heard nothing for a while ask the same home, the first by name, and the others overflow.
-constexpr double beliefSpread = 0.2;
+constexpr double estimateJitter = 0.2;
 
 /// A number from 0 to 1 that differs from home to home and from question to question.
-double spread(std::string_view home, std::uint64_t id)
+double jitter(std::string_view home, std::uint64_t id)
 {
     constexpr double range = 18446744073709551616.0;
     return static_cast<double>(XXH3_64bits_withSeed(home.data(), home.size(), id)) / range;
 }
 
-constexpr Duration leastRetryAfter = std::chrono::milliseconds(1);
+constexpr Duration minRetryAfter = std::chrono::milliseconds(1);
 
 /// Halvings of the span searched for the time of a refill: to a millionth of it.
 constexpr int refillSearchSteps = 20;
@@ -58,15 +58,15 @@
     , freshUntil_(now)
     , versions_(std::max(options.growDelay, options.debitLifetime), options.debitLifetime)
 {
-    options_.gatherLimit = std::min(options_.gatherLimit, options_.debitLifetime);
+    options_.gatherTimeout = std::min(options_.gatherTimeout, options_.debitLifetime);
 }
 
 void ShareLedger::setConfiguration(const ShareConfiguration &configuration, TimePoint now, bool isInForce)
 {
     advance(now);
-    const bool isNext = versions_.add(configuration, isInForce);
+    const bool isConsecutive = versions_.add(configuration, isInForce);
     updateShares(now);
-    if (isNext) {
+    if (isConsecutive) {
         return;
     }
     for (auto &[name, team] : teams_) {
@@ -96,7 +96,7 @@
 {
     advance(now);
     if (!isFresh(now)) {
-        return refusal(requestId, ResultCode::NotFresh, "this host can't confirm its configuration", options_.silence);
+        return refusal(requestId, ResultCode::NotFresh, "this host can't confirm its configuration", options_.homeBackoff);
     }
     Team *found = findTeam(team);
     if (found == nullptr || found->split.homes.empty()) {
@@ -105,43 +105,43 @@
     if (!(cost >= 0 && cost <= found->split.burst + tokenTolerance)) {
         return refusal(requestId, ResultCode::ExceedsBurst, "the request costs more than the team's whole burst");
     }
-    if (gathers_.size() >= options_.mostPending || gathers_.contains(requestId) || charges_.contains(requestId)) {
-        return refusal(requestId, ResultCode::Overloaded, "too many requests wait for shares", options_.askTimeout);
+    if (pendingRequests_.size() >= options_.maxPending || pendingRequests_.contains(requestId) || charges_.contains(requestId)) {
+        return refusal(requestId, ResultCode::Overloaded, "too many requests wait for shares", options_.roundTimeout);
     }
-    const bool sparesOwn = isFullerElsewhere(*found, cost, now);
-    if (!sparesOwn && found->bucket.take(cost, now)) {
-        charges_[requestId] = {std::string(team), cost, {Piece{{}, {}, 0, cost}}};
+    const bool skipsLocal = hasFullerHome(*found, cost, now);
+    if (!skipsLocal && found->bucket.consume(cost, now)) {
+        charges_[requestId] = {std::string(team), cost, {Debit{{}, {}, 0, cost}}};
         ShareDecision decision;
         decision.verdict = ShareVerdict::Admit;
         decision.requestId = requestId;
         return decision;
     }
-    Gather gather;
-    gather.team = team;
-    gather.cost = cost;
-    gather.sparesOwn = sparesOwn;
-    gather.limit = now + options_.gatherLimit;
-    return nextRound(gathers_.emplace(requestId, std::move(gather)).first, now);
+    PendingRequest pending;
+    pending.team = team;
+    pending.cost = cost;
+    pending.skipsLocal = skipsLocal;
+    pending.finalDeadline = now + options_.gatherTimeout;
+    return startNextRound(pendingRequests_.emplace(requestId, std::move(pending)).first, now);
 }
 
 DebitReply ShareLedger::onDebitRequest(const DebitRequest &request, TimePoint now)
 {
     advance(now);
-    forgetOldRecords(now);
-    DebitReply reply{host_, incarnation_, request.from, request.fromIncarnation, request.askId, request.team, 0, 0, 0};
+    expireRecords(now);
+    DebitReply reply{host_, incarnation_, request.from, request.fromIncarnation, request.debitId, request.team, 0, 0, 0};
     Team *team = findTeam(request.team);
     if (!isFresh(now) || team == nullptr || request.to != host_ || !std::isfinite(request.amount)) {
         return reply;
     }
-    RecordKey key{request.from, request.fromIncarnation, request.askId};
-    const auto known = records_.find(key);
-    if (known != records_.end()) {
-        reply.granted = known->second.amount;
-    } else if (records_.size() < options_.mostRecords) {
+    RecordKey key{request.from, request.fromIncarnation, request.debitId};
+    const auto existing = records_.find(key);
+    if (existing != records_.end()) {
+        reply.granted = existing->second.amount;
+    } else if (records_.size() < options_.maxRecords) {
         const std::uint64_t reservation = ++lastId_;
         reply.granted = team->bucket.reserve(request.amount, now + options_.debitLifetime, reservation, now);
         records_.emplace(key, Record{request.team, reply.granted, reservation});
-        agedRecords_.push_back({now + options_.recordLifetime, std::move(key)});
+        recordExpiries_.push_back({now + options_.recordLifetime, std::move(key)});
     }
     reply.balance = team->bucket.level(now);
     reply.reserved = team->bucket.reserved();
@@ -151,63 +151,63 @@
 ShareDecision ShareLedger::onDebitReply(const DebitReply &reply, TimePoint now)
 {
     advance(now);
-    const bool isSound = std::isfinite(reply.granted) && std::isfinite(reply.balance) && std::isfinite(reply.reserved);
-    if (reply.toIncarnation != incarnation_ || reply.to != host_ || !isSound) {
+    const bool isFinite = std::isfinite(reply.granted) && std::isfinite(reply.balance) && std::isfinite(reply.reserved);
+    if (reply.toIncarnation != incarnation_ || reply.to != host_ || !isFinite) {
         return {};
     }
-    const auto open = openAsks_.find(reply.askId);
-    if (open == openAsks_.end()) {
-        return onAbandonedReply(reply, now);
+    const auto entry = pendingDebits_.find(reply.debitId);
+    if (entry == pendingDebits_.end()) {
+        return onLateReply(reply, now);
     }
-    const OpenAsk ask = std::move(open->second);
-    openAsks_.erase(open);
-    if (ShareHint *hint = findHint(ask); hint != nullptr) {
-        hint->onReply(ask.amount, reply.balance, reply.reserved, now + options_.debitLifetime, now);
+    const PendingDebit pendingDebit = std::move(entry->second);
+    pendingDebits_.erase(entry);
+    if (ShareHint *hint = findHint(pendingDebit); hint != nullptr) {
+        hint->onReply(pendingDebit.amount, reply.balance, reply.reserved, now + options_.debitLifetime, now);
     }
-    const auto gather = gathers_.find(ask.requestId);
-    std::erase(gather->second.openAsks, reply.askId);
-    const double granted = std::clamp(reply.granted, 0.0, ask.amount);
+    const auto pending = pendingRequests_.find(pendingDebit.requestId);
+    std::erase(pending->second.pendingDebitIds, reply.debitId);
+    const double granted = std::clamp(reply.granted, 0.0, pendingDebit.amount);
     if (granted > 0) {
-        gather->second.pieces.push_back({ask.home, reply.fromIncarnation, reply.askId, granted});
-        gather->second.collected += granted;
+        pending->second.debits.push_back({pendingDebit.home, reply.fromIncarnation, reply.debitId, granted});
+        pending->second.collected += granted;
     }
-    const bool isEnough = gather->second.collected + tokenTolerance >= gather->second.cost;
-    if (isEnough || now > gather->second.limit) {
-        return complete(gather, now);
+    const bool isCovered = pending->second.collected + tokenTolerance >= pending->second.cost;
+    if (isCovered || now > pending->second.finalDeadline) {
+        return complete(pending, now);
     }
-    if (!gather->second.openAsks.empty()) {
+    if (!pending->second.pendingDebitIds.empty()) {
         return {};
     }
-    return nextRound(gather, now);
+    return startNextRound(pending, now);
 }
 
 ShareDecision ShareLedger::onTimeout(std::uint64_t requestId, TimePoint now)
 {
     advance(now);
-    const auto gather = gathers_.find(requestId);
+    const auto pending = pendingRequests_.find(requestId);
     // The timer of an earlier round goes off during a later one, whose homes would be taken for silent.
-    if (gather == gathers_.end() || now < gather->second.deadline) {
+    if (pending == pendingRequests_.end() || now < pending->second.deadline) {
         return {};
     }
-    for (const std::uint64_t askId : gather->second.openAsks) {
-        if (ShareHint *hint = findHint(openAsks_.at(askId)); hint != nullptr) {
-            hint->onTimeout(options_.silence, now);
+    for (const std::uint64_t debitId : pending->second.pendingDebitIds) {
+        if (ShareHint *hint = findHint(pendingDebits_.at(debitId)); hint != nullptr) {
+            hint->onTimeout(options_.homeBackoff, now);
         }
     }
-    abandonAsks(gather->second, now);
-    if (now >= gather->second.limit) {
-        return complete(gather, now);
+    abandonPendingDebits(pending->second, now);
+    if (now >= pending->second.finalDeadline) {
+        return complete(pending, now);
     }
-    return nextRound(gather, now);
+    return startNextRound(pending, now);
 }
 
 ShareDecision ShareLedger::cancel(std::uint64_t requestId, TimePoint now)
 {
-    const auto gather = gathers_.find(requestId);
-    if (gather == gathers_.end()) {
+    const auto pending = pendingRequests_.find(requestId);
+    if (pending == pendingRequests_.end()) {
         return {};
     }
-    return giveUp(gather, {ResultCode::CallerGone, "the caller hung up"}, now);
+    return refusePending(pending, {ResultCode::CallerGone, "the caller hung up"}, now);
 }
 
 std::vector<DebitSettlement> ShareLedger::settle(std::uint64_t requestId, double used, TimePoint now)
@@ -221,12 +221,12 @@
     const Charge charge = std::move(found->second);
     charges_.erase(found);
     Team *team = findTeam(charge.team);
-    for (const Piece &piece : charge.pieces) {
-        const double part = charge.total > 0 ? std::max(used, 0.0) * piece.amount / charge.total : 0;
-        if (!piece.home.empty()) {
-            messages.push_back(makeSettlement(piece, true, part));
+    for (const Debit &debit : charge.debits) {
+        const double part = charge.total > 0 ? std::max(used, 0.0) * debit.amount / charge.total : 0;
+        if (!debit.home.empty()) {
+            messages.push_back(makeSettlement(debit, true, part));
         } else if (team != nullptr) {
-            settleLocal(*team, piece.amount, part, now);
+            settleLocal(*team, debit.amount, part, now);
         }
     }
     return messages;
@@ -239,7 +239,7 @@
         return;
     }
     // The record goes with the first settlement: a doubled one would refund twice and make tokens.
-    const auto found = records_.find({settlement.from, settlement.fromIncarnation, settlement.askId});
+    const auto found = records_.find({settlement.from, settlement.fromIncarnation, settlement.debitId});
     if (found == records_.end()) {
         return;
     }
@@ -250,10 +250,10 @@
         return;
     }
     if (!settlement.isUsed) {
-        team->bucket.giveBack(record.reservation, refillTime(now));
+        team->bucket.release(record.reservation, refillTime(now));
         return;
     }
-    team->bucket.use(record.reservation, refillTime(now));
+    team->bucket.commit(record.reservation, refillTime(now));
     settleLocal(*team, record.amount, settlement.used, now);
 }
 
@@ -309,7 +309,7 @@
     team.split = *split;
     // A process that has just started may hold a version that others don't know yet, without the older one that still
     // binds it: what it spent by the newer one alone could come on top of the others' parts.
-    const HomeShare own = versions_.isSafe() ? team.split.shareOf(host_) : HomeShare{};
+    const HomeShare own = versions_.hasVersionInForce() ? team.split.shareOf(host_) : HomeShare{};
     team.bucket.setLimits(own.rate, own.burst, refillTime(now));
     std::erase_if(team.hints, [&split](const auto &hint) { return split->shareOf(hint.first).burst <= 0; });
     for (const HomeShare &home : team.split.homes) {
@@ -319,11 +319,11 @@
     }
 }
 
-void ShareLedger::forgetOldRecords(TimePoint now)
+void ShareLedger::expireRecords(TimePoint now)
 {
-    while (!agedRecords_.empty() && agedRecords_.front().end <= now) {
-        records_.erase(agedRecords_.front().key);
-        agedRecords_.pop_front();
+    while (!recordExpiries_.empty() && recordExpiries_.front().expiresAt <= now) {
+        records_.erase(recordExpiries_.front().key);
+        recordExpiries_.pop_front();
     }
 }
 
@@ -333,62 +333,62 @@
     return found == teams_.end() ? nullptr : &found->second;
 }
 
-ShareHint *ShareLedger::findHint(const OpenAsk &ask)
+ShareHint *ShareLedger::findHint(const PendingDebit &pendingDebit)
 {
-    Team *team = findTeam(ask.team);
+    Team *team = findTeam(pendingDebit.team);
     if (team == nullptr) {
         return nullptr;
     }
-    const auto found = team->hints.find(ask.home);
+    const auto found = team->hints.find(pendingDebit.home);
     return found == team->hints.end() ? nullptr : &found->second;
 }
 
-ShareDecision ShareLedger::nextRound(Gathers::iterator gather, TimePoint now)
+ShareDecision ShareLedger::startNextRound(PendingRequests::iterator pending, TimePoint now)
 {
-    Gather &state = gather->second;
+    PendingRequest &state = pending->second;
     Team *team = findTeam(state.team);
-    if (!isFresh(now) || team == nullptr || state.rounds >= mostRounds) {
-        return complete(gather, now);
+    if (!isFresh(now) || team == nullptr || state.rounds >= maxRounds) {
+        return complete(pending, now);
     }
     ++state.rounds;
-    if (!std::exchange(state.sparesOwn, false)) {
-        reserveOwn(*team, state, now);
+    if (!std::exchange(state.skipsLocal, false)) {
+        reserveLocal(*team, state, now);
     }
     if (state.collected + tokenTolerance >= state.cost) {
-        return complete(gather, now);
+        return complete(pending, now);
     }
     ShareDecision decision;
-    decision.requestId = gather->first;
-    decision.asks = planAsks(*team, gather, now);
-    if (decision.asks.empty()) {
-        return complete(gather, now);
+    decision.requestId = pending->first;
+    decision.debitRequests = planDebitRequests(*team, pending, now);
+    if (decision.debitRequests.empty()) {
+        return complete(pending, now);
     }
-    decision.verdict = ShareVerdict::Ask;
-    state.deadline = std::min(now + options_.askTimeout, state.limit);
+    decision.verdict = ShareVerdict::Pending;
+    state.deadline = std::min(now + options_.roundTimeout, state.finalDeadline);
     decision.deadline = state.deadline;
     return decision;
 }
 
-bool ShareLedger::isFullerElsewhere(Team &team, double cost, TimePoint now) const
+bool ShareLedger::hasFullerHome(Team &team, double cost, TimePoint now) const
 {
     // Load: most of a team's requests at one host. Its own part would always be spent first and the others' would
     // overflow meanwhile, so that the team has less than its burst when it needs it.
-    if (team.bucket.level(now) - cost > ownKept * team.bucket.burst()) {
+    if (team.bucket.level(now) - cost > minLocalFill * team.bucket.burst()) {
         return false;
     }
     return std::any_of(team.hints.begin(), team.hints.end(), [=](const auto &hint) {
         const double estimate = hint.second.estimate(now);
-        return !hint.second.isSuspect() && estimate >= cost && estimate >= overflowing * hint.second.burst();
+        return !hint.second.isSuspect() && estimate >= cost && estimate >= nearlyFull * hint.second.burst();
     });
 }
 
-void ShareLedger::reserveOwn(Team &team, Gather &gather, TimePoint now)
+void ShareLedger::reserveLocal(Team &team, PendingRequest &pending, TimePoint now)
 {
     const std::uint64_t reservation = ++lastId_;
-    const double own = team.bucket.reserve(gather.cost - gather.collected, now + options_.debitLifetime, reservation, now);
+    const double own = team.bucket.reserve(pending.cost - pending.collected, now + options_.debitLifetime, reservation, now);
     if (own > 0) {
-        gather.pieces.push_back({{}, {}, reservation, own});
-        gather.collected += own;
+        pending.debits.push_back({{}, {}, reservation, own});
+        pending.collected += own;
     }
 }
 
@@ -396,10 +396,10 @@
 {
     std::vector<Candidate> list;
     for (auto &[home, hint] : team.hints) {
-        const double greatest = hint.greatest(now, options_.hintAge);
-        if (greatest > tokenTolerance) {
-            const double estimate = std::min(hint.estimate(now), greatest);
-            list.push_back({&hint, home, estimate, greatest, estimate * (1 - beliefSpread * spread(home, lastId_))});
+        const double upperBound = hint.upperBound(now, options_.maxEstimateAge);
+        if (upperBound > tokenTolerance) {
+            const double estimate = std::min(hint.estimate(now), upperBound);
+            list.push_back({&hint, home, estimate, upperBound, estimate * (1 - estimateJitter * jitter(home, lastId_))});
         }
     }
     std::sort(list.begin(), list.end(), [](const Candidate &left, const Candidate &right) {
@@ -408,136 +408,136 @@
     return list;
 }
 
-std::vector<DebitRequest> ShareLedger::planAsks(Team &team, Gathers::iterator gather, TimePoint now)
+std::vector<DebitRequest> ShareLedger::planDebitRequests(Team &team, PendingRequests::iterator pending, TimePoint now)
 {
     const std::vector<Candidate> list = candidates(team, now);
-    double possible = 0;
+    double maxAvailable = 0;
     for (const Candidate &candidate : list) {
-        possible += candidate.greatest;
+        maxAvailable += candidate.upperBound;
     }
-    double shortage = gather->second.cost - gather->second.collected;
+    double shortage = pending->second.cost - pending->second.collected;
     // Load: a team far over its rate. Asking homes that have just said that they are empty would cost each of its
     // requests a round of messages to every home and win nothing.
-    if (possible + tokenTolerance < shortage) {
+    if (maxAvailable + tokenTolerance < shortage) {
         return {};
     }
-    std::vector<DebitRequest> asks;
+    std::vector<DebitRequest> debitRequests;
     std::vector<double> amounts(list.size(), 0.0);
     for (std::size_t i = 0; i < list.size(); ++i) {
         amounts[i] = std::min(list[i].estimate, shortage);
         shortage -= amounts[i];
     }
     for (std::size_t i = 0; i < list.size(); ++i) {
-        const double more = std::min(list[i].greatest - amounts[i], shortage);
+        const double more = std::min(list[i].upperBound - amounts[i], shortage);
         shortage -= more;
         const double amount = amounts[i] + more;
         if (amount > tokenTolerance) {
-            asks.push_back(makeAsk(list[i], gather, amount));
+            debitRequests.push_back(makeDebitRequest(list[i], pending, amount));
         }
     }
-    return asks;
+    return debitRequests;
 }
 
-DebitRequest ShareLedger::makeAsk(const Candidate &candidate, Gathers::iterator gather, double amount)
+DebitRequest ShareLedger::makeDebitRequest(const Candidate &candidate, PendingRequests::iterator pending, double amount)
 {
-    const std::uint64_t askId = ++lastId_;
-    candidate.hint->onAsked(amount);
-    openAsks_.emplace(askId, OpenAsk{gather->first, candidate.home, gather->second.team, amount});
-    gather->second.openAsks.push_back(askId);
-    return {host_, incarnation_, candidate.home, askId, gather->second.team, amount};
+    const std::uint64_t debitId = ++lastId_;
+    candidate.hint->onRequested(amount);
+    pendingDebits_.emplace(debitId, PendingDebit{pending->first, candidate.home, pending->second.team, amount});
+    pending->second.pendingDebitIds.push_back(debitId);
+    return {host_, incarnation_, candidate.home, debitId, pending->second.team, amount};
 }
 
-ShareDecision ShareLedger::complete(Gathers::iterator gather, TimePoint now)
+ShareDecision ShareLedger::complete(PendingRequests::iterator pending, TimePoint now)
 {
-    Gather &state = gather->second;
+    PendingRequest &state = pending->second;
     Team *team = findTeam(state.team);
     if (!isFresh(now) || team == nullptr) {
-        return giveUp(gather, {ResultCode::NotFresh, "this host can't confirm its configuration"}, now);
+        return refusePending(pending, {ResultCode::NotFresh, "this host can't confirm its configuration"}, now);
     }
     // A host paused while the answers came may act long after it asked, when the homes have refilled what they
     // gave: a burst would pass twice. The limit counts from the first question and is within the debits' lifetime.
-    const bool isInTime = now < state.limit;
+    const bool isInTime = now < state.finalDeadline;
     if (!isInTime || state.collected + tokenTolerance < state.cost) {
-        return giveUp(gather, {ResultCode::OverRate, "the team has spent its rate and burst"}, now);
+        return refusePending(pending, {ResultCode::OverRate, "the team has spent its rate and burst"}, now);
     }
-    for (const Piece &piece : state.pieces) {
-        if (piece.home.empty()) {
-            team->bucket.use(piece.id, now);
+    for (const Debit &debit : state.debits) {
+        if (debit.home.empty()) {
+            team->bucket.commit(debit.id, now);
         }
     }
     ShareDecision decision;
     decision.verdict = ShareVerdict::Admit;
-    decision.requestId = gather->first;
-    abandonAsks(state, now);
-    charges_[gather->first] = {state.team, state.collected, std::move(state.pieces)};
-    gathers_.erase(gather);
+    decision.requestId = pending->first;
+    abandonPendingDebits(state, now);
+    charges_[pending->first] = {state.team, state.collected, std::move(state.debits)};
+    pendingRequests_.erase(pending);
     return decision;
 }
 
-ShareDecision ShareLedger::giveUp(Gathers::iterator gather, Reason reason, TimePoint now)
+ShareDecision ShareLedger::refusePending(PendingRequests::iterator pending, Reason reason, TimePoint now)
 {
-    const std::string team = gather->second.team;
-    const double cost = gather->second.cost;
-    ShareDecision decision = refusal(gather->first, reason.code, std::move(reason.text), options_.silence);
-    decision.returns = abandon(gather, now);
+    const std::string team = pending->second.team;
+    const double cost = pending->second.cost;
+    ShareDecision decision = refusal(pending->first, reason.code, std::move(reason.text), options_.homeBackoff);
+    decision.settlements = abandon(pending, now);
     if (decision.reason.code != ResultCode::OverRate) {
         return decision;
     }
     return refuseOverRate(team, cost, std::move(decision), now);
 }
 
-std::vector<DebitSettlement> ShareLedger::abandon(Gathers::iterator gather, TimePoint now)
+std::vector<DebitSettlement> ShareLedger::abandon(PendingRequests::iterator pending, TimePoint now)
 {
-    std::vector<DebitSettlement> returns;
-    Team *team = findTeam(gather->second.team);
-    for (const Piece &piece : gather->second.pieces) {
-        if (piece.home.empty() && team != nullptr) {
-            team->bucket.giveBack(piece.id, refillTime(now));
+    std::vector<DebitSettlement> settlements;
+    Team *team = findTeam(pending->second.team);
+    for (const Debit &debit : pending->second.debits) {
+        if (debit.home.empty() && team != nullptr) {
+            team->bucket.release(debit.id, refillTime(now));
         }
-        if (piece.home.empty()) {
+        if (debit.home.empty()) {
             continue;
         }
-        returns.push_back(makeSettlement(piece, false, 0));
-        if (ShareHint *hint = findHint({0, piece.home, gather->second.team, 0}); hint != nullptr) {
-            hint->onReturned(piece.amount);
+        settlements.push_back(makeSettlement(debit, false, 0));
+        if (ShareHint *hint = findHint({0, debit.home, pending->second.team, 0}); hint != nullptr) {
+            hint->onReturned(debit.amount);
         }
     }
-    abandonAsks(gather->second, now);
-    gathers_.erase(gather);
-    return returns;
+    abandonPendingDebits(pending->second, now);
+    pendingRequests_.erase(pending);
+    return settlements;
 }
 
-void ShareLedger::abandonAsks(Gather &gather, TimePoint now)
+void ShareLedger::abandonPendingDebits(PendingRequest &pending, TimePoint now)
 {
-    while (!agedAsks_.empty() && agedAsks_.front().end <= now) {
-        abandonedAsks_.erase(agedAsks_.front().askId);
-        agedAsks_.pop_front();
+    while (!abandonedExpiries_.empty() && abandonedExpiries_.front().expiresAt <= now) {
+        abandonedDebits_.erase(abandonedExpiries_.front().debitId);
+        abandonedExpiries_.pop_front();
     }
-    for (const std::uint64_t askId : gather.openAsks) {
-        if (ShareHint *hint = findHint(openAsks_.at(askId)); hint != nullptr) {
-            hint->onUnanswered(openAsks_.at(askId).amount);
+    for (const std::uint64_t debitId : pending.pendingDebitIds) {
+        if (ShareHint *hint = findHint(pendingDebits_.at(debitId)); hint != nullptr) {
+            hint->onRequestAbandoned(pendingDebits_.at(debitId).amount);
         }
-        abandonedAsks_.insert(openAsks_.extract(askId));
-        agedAsks_.push_back({now + options_.debitLifetime, askId});
+        abandonedDebits_.insert(pendingDebits_.extract(debitId));
+        abandonedExpiries_.push_back({now + options_.debitLifetime, debitId});
     }
-    gather.openAsks.clear();
+    pending.pendingDebitIds.clear();
 }
 
-ShareDecision ShareLedger::onAbandonedReply(const DebitReply &reply, TimePoint now)
+ShareDecision ShareLedger::onLateReply(const DebitReply &reply, TimePoint now)
 {
     // Only a debit that was surely never used goes back: a doubled answer to one that was used finds nothing here.
     ShareDecision decision;
-    const auto found = abandonedAsks_.find(reply.askId);
-    if (found == abandonedAsks_.end()) {
+    const auto found = abandonedDebits_.find(reply.debitId);
+    if (found == abandonedDebits_.end()) {
         return decision;
     }
     if (ShareHint *hint = findHint(found->second); hint != nullptr) {
         hint->onReply(0, reply.balance, reply.reserved, now + options_.debitLifetime, now);
         hint->onReturned(std::max(reply.granted, 0.0));
     }
-    abandonedAsks_.erase(found);
+    abandonedDebits_.erase(found);
     if (reply.granted > 0) {
-        decision.returns.push_back(makeSettlement({reply.from, reply.fromIncarnation, reply.askId, reply.granted}, false, 0));
+        decision.settlements.push_back(makeSettlement({reply.from, reply.fromIncarnation, reply.debitId, reply.granted}, false, 0));
     }
     return decision;
 }
@@ -545,21 +545,21 @@
 ShareDecision ShareLedger::refuseOverRate(std::string_view team, double cost, ShareDecision decision, TimePoint now)
 {
     Team *found = findTeam(team);
-    double whole = found->bucket.burst();
-    double reachable = whole;
+    double totalBurst = found->bucket.burst();
+    double reachableBurst = totalBurst;
     for (const auto &[home, hint] : found->hints) {
-        whole += hint.burst();
-        reachable += hint.isSilent(now) ? 0 : hint.burst();
+        totalBurst += hint.burst();
+        reachableBurst += hint.isInBackoff(now) ? 0 : hint.burst();
     }
-    if (whole + tokenTolerance < cost) {
+    if (totalBurst + tokenTolerance < cost) {
         decision.retryAfter = options_.growDelay;
         return decision;
     }
-    if (reachable + tokenTolerance < cost) {
+    if (reachableBurst + tokenTolerance < cost) {
         decision.reason = {ResultCode::PeerUnreachable, "hosts that hold a part of the team's burst do not answer"};
         return decision;
     }
-    decision.retryAfter = std::max(timeToRefill(*found, cost, now), leastRetryAfter);
+    decision.retryAfter = std::max(timeToRefill(*found, cost, now), minRetryAfter);
     return decision;
 }
 
@@ -569,7 +569,7 @@
     const auto total = [&](double seconds) {
         double sum = std::min(own + team.bucket.rate() * seconds, team.bucket.burst());
         for (const auto &[home, hint] : team.hints) {
-            sum += hint.isSilent(now) ? 0 : hint.estimate(now + fromSeconds(seconds));
+            sum += hint.isInBackoff(now) ? 0 : hint.estimate(now + fromSeconds(seconds));
         }
         return sum;
     };
@@ -583,9 +583,9 @@
     return fromSeconds(high);
 }
 
-DebitSettlement ShareLedger::makeSettlement(const Piece &piece, bool isUsed, double used) const
+DebitSettlement ShareLedger::makeSettlement(const Debit &debit, bool isUsed, double used) const
 {
-    return {host_, incarnation_, piece.home, piece.homeIncarnation, piece.id, isUsed, used};
+    return {host_, incarnation_, debit.home, debit.homeIncarnation, debit.id, isUsed, used};
 }
 
 void ShareLedger::settleLocal(Team &team, double charged, double used, TimePoint now) const
--- a/coordination/share_ledger.h
+++ b/coordination/share_ledger.h
@@ -23,20 +23,20 @@
 {
     Duration debitLifetime = std::chrono::milliseconds(150); ///< A debit is used within this time of being asked for, or never.
     Duration growDelay = std::chrono::seconds(3); ///< The freshness window; raised to `debitLifetime` if less.
-    Duration askTimeout = std::chrono::milliseconds(50); ///< Wait for one round of answers.
-    Duration gatherLimit = std::chrono::milliseconds(150); ///< Wait for all rounds of one request; lowered to `debitLifetime` if more.
-    Duration hintAge = std::chrono::milliseconds(250); ///< A home is not asked again in vain while news of it is younger.
-    Duration silence = std::chrono::milliseconds(250); ///< How long a home that did not answer is first left alone.
+    Duration roundTimeout = std::chrono::milliseconds(50); ///< Wait for one round of answers.
+    Duration gatherTimeout = std::chrono::milliseconds(150); ///< Wait for all rounds of one request; lowered to `debitLifetime` if more.
+    Duration maxEstimateAge = std::chrono::milliseconds(250); ///< A home is not asked again in vain while news of it is younger.
+    Duration homeBackoff = std::chrono::milliseconds(250); ///< How long a home that did not answer is first left alone.
     Duration recordLifetime = std::chrono::minutes(10); ///< A debit settled later than this gets no refund.
-    std::size_t mostPending = 10'000; ///< Requests that wait for answers at once; each takes about 500 bytes.
-    std::size_t mostRecords = 100'000; ///< Debits of other hosts not settled yet; each takes about 300 bytes.
+    std::size_t maxPending = 10'000; ///< Requests that wait for answers at once; each takes about 500 bytes.
+    std::size_t maxRecords = 100'000; ///< Debits of other hosts not settled yet; each takes about 300 bytes.
 };
 
 enum class ShareVerdict : std::uint8_t
 {
     None, ///< Nothing to decide: the message belongs to no waiting request.
     Admit, ///< Charged; settle() must follow, whatever becomes of the request.
-    Ask, ///< Send `asks`; call onTimeout() at `deadline` if the answers have not decided it before.
+    Pending, ///< Send `debitRequests`; call onTimeout() at `deadline` if the answers have not decided it before.
     Refuse, ///< Not charged.
 };
 
@@ -45,8 +45,8 @@
 {
     ShareVerdict verdict = ShareVerdict::None;
     std::uint64_t requestId = 0;
-    std::vector<DebitRequest> asks;
-    std::vector<DebitSettlement> returns; ///< To send whatever the verdict is.
+    std::vector<DebitRequest> debitRequests;
+    std::vector<DebitSettlement> settlements; ///< To send whatever the verdict is.
     TimePoint deadline; ///< With Ask.
     Reason reason; ///< With Refuse: OverRate, ExceedsBurst, PeerUnreachable, NotFresh, UnknownKey, Overloaded.
     Duration retryAfter{}; ///< With Refuse, except ExceedsBurst and UnknownKey: when the same request would pass if nothing else came.
@@ -112,7 +112,7 @@
     };
 
     /// Tokens of one request from one home. Without a home they are this host's own.
-    struct Piece
+    struct Debit
     {
         std::string home;
         std::string homeIncarnation;
@@ -124,10 +124,10 @@
     {
         std::string team;
         double total = 0;
-        std::vector<Piece> pieces;
+        std::vector<Debit> debits;
     };
 
-    struct OpenAsk
+    struct PendingDebit
     {
         std::uint64_t requestId = 0;
         std::string home;
@@ -135,28 +135,28 @@
         double amount = 0;
     };
 
-    struct Gather
+    struct PendingRequest
     {
         std::string team;
         double cost = 0;
         double collected = 0;
         int rounds = 0;
-        bool sparesOwn = false; ///< The first round leaves this host's own tokens alone.
-        TimePoint limit;
+        bool skipsLocal = false; ///< The first round leaves this host's own tokens alone.
+        TimePoint finalDeadline;
         TimePoint deadline; ///< Of the present round.
-        std::vector<Piece> pieces;
-        std::vector<std::uint64_t> openAsks;
+        std::vector<Debit> debits;
+        std::vector<std::uint64_t> pendingDebitIds;
     };
 
     struct RecordKey
     {
         std::string host;
         std::string incarnation;
-        std::uint64_t askId = 0;
+        std::uint64_t debitId = 0;
 
         bool operator<(const RecordKey &other) const
         {
-            return std::tie(host, incarnation, askId) < std::tie(other.host, other.incarnation, other.askId);
+            return std::tie(host, incarnation, debitId) < std::tie(other.host, other.incarnation, other.debitId);
         }
     };
 
@@ -167,16 +167,16 @@
         std::uint64_t reservation = 0;
     };
 
-    struct AgedRecord
+    struct RecordExpiry
     {
-        TimePoint end;
+        TimePoint expiresAt;
         RecordKey key;
     };
 
-    struct AgedAsk
+    struct DebitExpiry
     {
-        TimePoint end;
-        std::uint64_t askId = 0;
+        TimePoint expiresAt;
+        std::uint64_t debitId = 0;
     };
 
     struct Candidate
@@ -184,35 +184,35 @@
         ShareHint *hint = nullptr;
         std::string home;
         double estimate = 0;
-        double greatest = 0;
+        double upperBound = 0;
         double preference = 0;
     };
 
-    using Gathers = std::map<std::uint64_t, Gather>;
+    using PendingRequests = std::map<std::uint64_t, PendingRequest>;
 
     bool isFresh(TimePoint now) const;
     TimePoint refillTime(TimePoint now) const;
     void advance(TimePoint now);
     void updateShares(TimePoint now);
     void updateTeam(const std::string &name, TimePoint now);
-    void forgetOldRecords(TimePoint now);
+    void expireRecords(TimePoint now);
     Team *findTeam(std::string_view name);
-    ShareHint *findHint(const OpenAsk &ask);
+    ShareHint *findHint(const PendingDebit &pendingDebit);
 
-    ShareDecision nextRound(Gathers::iterator gather, TimePoint now);
-    bool isFullerElsewhere(Team &team, double cost, TimePoint now) const;
-    void reserveOwn(Team &team, Gather &gather, TimePoint now);
+    ShareDecision startNextRound(PendingRequests::iterator pending, TimePoint now);
+    bool hasFullerHome(Team &team, double cost, TimePoint now) const;
+    void reserveLocal(Team &team, PendingRequest &pending, TimePoint now);
     std::vector<Candidate> candidates(Team &team, TimePoint now) const;
-    std::vector<DebitRequest> planAsks(Team &team, Gathers::iterator gather, TimePoint now);
-    DebitRequest makeAsk(const Candidate &candidate, Gathers::iterator gather, double amount);
-    ShareDecision complete(Gathers::iterator gather, TimePoint now);
-    ShareDecision giveUp(Gathers::iterator gather, Reason reason, TimePoint now);
-    std::vector<DebitSettlement> abandon(Gathers::iterator gather, TimePoint now);
-    void abandonAsks(Gather &gather, TimePoint now);
-    ShareDecision onAbandonedReply(const DebitReply &reply, TimePoint now);
+    std::vector<DebitRequest> planDebitRequests(Team &team, PendingRequests::iterator pending, TimePoint now);
+    DebitRequest makeDebitRequest(const Candidate &candidate, PendingRequests::iterator pending, double amount);
+    ShareDecision complete(PendingRequests::iterator pending, TimePoint now);
+    ShareDecision refusePending(PendingRequests::iterator pending, Reason reason, TimePoint now);
+    std::vector<DebitSettlement> abandon(PendingRequests::iterator pending, TimePoint now);
+    void abandonPendingDebits(PendingRequest &pending, TimePoint now);
+    ShareDecision onLateReply(const DebitReply &reply, TimePoint now);
     ShareDecision refuseOverRate(std::string_view team, double cost, ShareDecision decision, TimePoint now);
     Duration timeToRefill(Team &team, double cost, TimePoint now) const;
-    DebitSettlement makeSettlement(const Piece &piece, bool isUsed, double used) const;
+    DebitSettlement makeSettlement(const Debit &debit, bool isUsed, double used) const;
     void settleLocal(Team &team, double charged, double used, TimePoint now) const;
 
     std::string host_;
@@ -223,13 +223,13 @@
     ShareVersions versions_;
     std::map<std::string, Team, std::less<>> teams_;
     std::uint64_t lastId_ = 0;
-    Gathers gathers_;
+    PendingRequests pendingRequests_;
     std::map<std::uint64_t, Charge> charges_;
-    std::map<std::uint64_t, OpenAsk> openAsks_;
-    std::map<std::uint64_t, OpenAsk> abandonedAsks_;
-    std::deque<AgedAsk> agedAsks_;
+    std::map<std::uint64_t, PendingDebit> pendingDebits_;
+    std::map<std::uint64_t, PendingDebit> abandonedDebits_;
+    std::deque<DebitExpiry> abandonedExpiries_;
     std::map<RecordKey, Record> records_;
-    std::deque<AgedRecord> agedRecords_;
+    std::deque<RecordExpiry> recordExpiries_;
 };
 
 } // namespace Lovageloft
--- a/coordination/share_messages.h
+++ b/coordination/share_messages.h
@@ -14,7 +14,7 @@
     std::string from;
     std::string fromIncarnation;
     std::string to;
-    std::uint64_t askId = 0; ///< Counts up within the asker's incarnation.
+    std::uint64_t debitId = 0; ///< Counts up within the asker's incarnation.
     std::string team;
     double amount = 0; ///< Tokens; the home grants less if it has less.
 };
@@ -26,7 +26,7 @@
     std::string fromIncarnation;
     std::string to;
     std::string toIncarnation; ///< As the request had it.
-    std::uint64_t askId = 0;
+    std::uint64_t debitId = 0;
     std::string team;
     double granted = 0; ///< Tokens debited, 0 to the amount asked for.
     double balance = 0; ///< What the home has left of the team's tokens; negative while a debt is paid off.
@@ -40,7 +40,7 @@
     std::string fromIncarnation;
     std::string to;
     std::string toIncarnation; ///< The home's when it granted; another one has a new bucket that owes nothing.
-    std::uint64_t askId = 0;
+    std::uint64_t debitId = 0;
     bool isUsed = false; ///< False: the debit was never used and never will be.
     double used = 0; ///< Tokens used in the end, may exceed the debit.
 };
--- a/coordination/share_split.cpp
+++ b/coordination/share_split.cpp
@@ -11,7 +11,7 @@
 namespace Lovageloft
 {
 
-ShareConfiguration shareConfiguration(std::int64_t version, const ConfigurationState &state)
+ShareConfiguration makeShareConfiguration(std::int64_t version, const ConfigurationState &state)
 {
     ShareConfiguration shares{version, {}, {}};
     for (const HostEntry &host : state.hosts()) {
@@ -26,7 +26,7 @@
 std::vector<std::string> homesOf(std::string_view team, std::span<const std::string> hosts)
 {
     std::vector<std::string> homes(hosts.begin(), hosts.end());
-    if (homes.size() > mostHostsAllHomes) {
+    if (homes.size() > maxHostsAllHomes) {
         const std::uint64_t seed = XXH3_64bits(team.data(), team.size());
         std::vector<std::pair<std::uint64_t, std::string>> ranked;
         for (std::string &host : homes) {
--- a/coordination/share_split.h
+++ b/coordination/share_split.h
@@ -12,7 +12,7 @@
 class ConfigurationState;
 
 /// What a team may spend over the whole fleet.
-struct TeamShare
+struct TeamLimits
 {
     std::string team;
     double rate = 0; ///< Tokens a second.
@@ -24,14 +24,14 @@
 {
     std::int64_t version = 0; ///< Sequence number of the log entry; each host takes them one by one.
     std::vector<std::string> hosts;
-    std::vector<TeamShare> teams;
+    std::vector<TeamLimits> teams;
 };
 
 /// The part of a configuration state that the shares need.
-ShareConfiguration shareConfiguration(std::int64_t version, const ConfigurationState &state);
+ShareConfiguration makeShareConfiguration(std::int64_t version, const ConfigurationState &state);
 
 /// Up to this many hosts each of them is a home of every team: a request then mostly finds its share where it arrives.
-constexpr std::size_t mostHostsAllHomes = 12;
+constexpr std::size_t maxHostsAllHomes = 12;
 
 /// Homes of a team in a larger fleet. Fewer would make the loss of one home cost a team much of its rate; more would
 /// cut its burst into pieces that most requests have to be gathered from.
--- a/coordination/share_versions.cpp
+++ b/coordination/share_versions.cpp
@@ -13,9 +13,9 @@
     return home == homes.end() ? HomeShare{std::string(host), 0, 0} : *home;
 }
 
-ShareVersions::ShareVersions(Duration growDelay, Duration firstDelay)
+ShareVersions::ShareVersions(Duration growDelay, Duration initialGrowDelay)
     : growDelay_(growDelay)
-    , firstDelay_(firstDelay)
+    , initialGrowDelay_(initialGrowDelay)
 {
 }
 
@@ -25,38 +25,38 @@
     if (!versions_.empty() && configuration.version <= last) {
         return true;
     }
-    isSafe_ = isSafe_ || (versions_.empty() && isInForce);
-    const bool isNext = versions_.empty() || configuration.version == last + 1;
+    hasVersionInForce_ = hasVersionInForce_ || (versions_.empty() && isInForce);
+    const bool isConsecutive = versions_.empty() || configuration.version == last + 1;
     versions_.push_back(makeVersion(configuration));
-    return isNext;
+    return isConsecutive;
 }
 
-bool ShareVersions::isSafe() const
+bool ShareVersions::hasVersionInForce() const
 {
-    return isSafe_;
+    return hasVersionInForce_;
 }
 
 void ShareVersions::onInForce(std::int64_t version, TimePoint now)
 {
     const std::int64_t base = versions_.empty() ? 0 : versions_.front().number;
-    if (version > base || (version == base && !isSafe_)) {
-        growAt_.emplace(version, now + (isSafe_ ? growDelay_ : firstDelay_));
+    if (version > base || (version == base && !hasVersionInForce_)) {
+        effectiveAt_.emplace(version, now + (hasVersionInForce_ ? growDelay_ : initialGrowDelay_));
     }
 }
 
 bool ShareVersions::advance(TimePoint now)
 {
     std::int64_t base = 0;
-    while (!growAt_.empty() && growAt_.begin()->second <= now && growAt_.begin()->first <= newest()) {
-        base = growAt_.begin()->first;
-        growAt_.erase(growAt_.begin());
+    while (!effectiveAt_.empty() && effectiveAt_.begin()->second <= now && effectiveAt_.begin()->first <= newest()) {
+        base = effectiveAt_.begin()->first;
+        effectiveAt_.erase(effectiveAt_.begin());
     }
     const std::size_t before = versions_.size();
     while (versions_.size() > 1 && versions_.front().number < base) {
         versions_.pop_front();
     }
-    const bool wasSafe = std::exchange(isSafe_, isSafe_ || (base > 0 && base >= versions_.front().number));
-    return versions_.size() != before || isSafe_ != wasSafe;
+    const bool hadVersionInForce = std::exchange(hasVersionInForce_, hasVersionInForce_ || (base > 0 && base >= versions_.front().number));
+    return versions_.size() != before || hasVersionInForce_ != hadVersionInForce;
 }
 
 std::vector<std::string> ShareVersions::teams() const
@@ -65,7 +65,7 @@
     if (versions_.empty()) {
         return names;
     }
-    for (const auto &[name, part] : versions_.back().parts) {
+    for (const auto &[name, entry] : versions_.back().teams) {
         names.push_back(name);
     }
     return names;
@@ -76,13 +76,13 @@
     if (versions_.empty()) {
         return std::nullopt;
     }
-    const auto part = versions_.back().parts.find(team);
-    if (part == versions_.back().parts.end()) {
+    const auto entry = versions_.back().teams.find(team);
+    if (entry == versions_.back().teams.end()) {
         return std::nullopt;
     }
-    TeamSplit split{{}, part->second.rate, part->second.burst};
-    for (const std::string &host : part->second.homes) {
-        split.homes.push_back(leastShare(team, host));
+    TeamSplit split{{}, entry->second.rate, entry->second.burst};
+    for (const std::string &host : entry->second.homes) {
+        split.homes.push_back(minShare(team, host));
     }
     return split;
 }
@@ -95,31 +95,31 @@
 ShareVersions::Version ShareVersions::makeVersion(const ShareConfiguration &configuration) const
 {
     Version version{configuration.version, configuration.hosts, {}};
-    const bool sameHosts = !versions_.empty() && versions_.back().hosts == configuration.hosts;
-    for (const TeamShare &team : configuration.teams) {
-        Part part{{}, team.rate, team.burst};
+    const bool hasSameHosts = !versions_.empty() && versions_.back().hosts == configuration.hosts;
+    for (const TeamLimits &team : configuration.teams) {
+        TeamEntry entry{{}, team.rate, team.burst};
         // Ranking hundreds of hosts for each of hundreds of teams is spared when a ticket changed a rate only.
-        const auto known = sameHosts ? versions_.back().parts.find(team.team) : std::map<std::string, Part>::const_iterator{};
-        const bool isKnown = sameHosts && known != versions_.back().parts.end();
-        part.homes = isKnown ? known->second.homes : homesOf(team.team, configuration.hosts);
-        version.parts.emplace(team.team, std::move(part));
+        const auto previous = hasSameHosts ? versions_.back().teams.find(team.team) : std::map<std::string, TeamEntry>::const_iterator{};
+        const bool isReusable = hasSameHosts && previous != versions_.back().teams.end();
+        entry.homes = isReusable ? previous->second.homes : homesOf(team.team, configuration.hosts);
+        version.teams.emplace(team.team, std::move(entry));
     }
     return version;
 }
 
-HomeShare ShareVersions::leastShare(std::string_view team, const std::string &host) const
+HomeShare ShareVersions::minShare(std::string_view team, const std::string &host) const
 {
-    HomeShare least{host, std::numeric_limits<double>::max(), std::numeric_limits<double>::max()};
+    HomeShare minimum{host, std::numeric_limits<double>::max(), std::numeric_limits<double>::max()};
     for (const Version &version : versions_) {
-        const auto part = version.parts.find(team);
-        if (part == version.parts.end() || !std::binary_search(part->second.homes.begin(), part->second.homes.end(), host)) {
+        const auto entry = version.teams.find(team);
+        if (entry == version.teams.end() || !std::binary_search(entry->second.homes.begin(), entry->second.homes.end(), host)) {
             return {host, 0, 0};
         }
-        const auto homes = static_cast<double>(part->second.homes.size());
-        least.rate = std::min(least.rate, part->second.rate / homes);
-        least.burst = std::min(least.burst, part->second.burst / homes);
+        const auto homes = static_cast<double>(entry->second.homes.size());
+        minimum.rate = std::min(minimum.rate, entry->second.rate / homes);
+        minimum.burst = std::min(minimum.burst, entry->second.burst / homes);
     }
-    return least;
+    return minimum;
 }
 
 } // namespace Lovageloft
--- a/coordination/share_versions.h
+++ b/coordination/share_versions.h
@@ -42,10 +42,10 @@
 class ShareVersions
 {
 public:
-    /// `growDelay` is waited after a version is in force before it alone counts, and `firstDelay` with the first that a
+    /// `growDelay` is waited after a version is in force before it alone counts, and `initialGrowDelay` with the first that a
     /// process hears to be in force. Both must be at least the lifetime of a debit, so that nothing debited under an
     /// older version is used afterwards.
-    ShareVersions(Duration growDelay, Duration firstDelay);
+    ShareVersions(Duration growDelay, Duration initialGrowDelay);
 
     /// Takes the next version. `isInForce` says whether it is known to be in force; only that of the first one counts.
     /// False if versions were skipped: then nothing is known of what lay between, and whoever holds tokens must drop
@@ -53,7 +53,7 @@
     bool add(const ShareConfiguration &configuration, bool isInForce = false);
 
     /// Whether any version held is known to be in force. Before that, no part is safe to spend from.
-    bool isSafe() const;
+    bool hasVersionInForce() const;
 
     /// A version is in force: no host that is fresh holds an older one.
     void onInForce(std::int64_t version, TimePoint now);
@@ -71,7 +71,7 @@
     std::int64_t newest() const;
 
 private:
-    struct Part
+    struct TeamEntry
     {
         std::vector<std::string> homes;
         double rate = 0;
@@ -82,17 +82,17 @@
     {
         std::int64_t number = 0;
         std::vector<std::string> hosts;
-        std::map<std::string, Part, std::less<>> parts;
+        std::map<std::string, TeamEntry, std::less<>> teams;
     };
 
     Version makeVersion(const ShareConfiguration &configuration) const;
-    HomeShare leastShare(std::string_view team, const std::string &host) const;
+    HomeShare minShare(std::string_view team, const std::string &host) const;
 
     Duration growDelay_;
-    Duration firstDelay_;
-    bool isSafe_ = false;
+    Duration initialGrowDelay_;
+    bool hasVersionInForce_ = false;
     std::deque<Version> versions_; // From the one that may be in force at the longest-lagging fresh host to the newest.
-    std::map<std::int64_t, TimePoint> growAt_;
+    std::map<std::int64_t, TimePoint> effectiveAt_;
 };
 
 } // namespace Lovageloft
--- a/gateway/weights_duty.cpp
+++ b/gateway/weights_duty.cpp
@@ -59,7 +59,7 @@
     isChanged_ = true;
 }
 
-void WeightsDuty::onOrderOfOther(const std::string &targetId)
+void WeightsDuty::onOrderByOther(const std::string &targetId)
 {
     const std::lock_guard lock(mutex_);
     orderedByOthers_.push_back(targetId);
@@ -108,7 +108,7 @@
         lease_.release(BootClock::now());
         return;
     }
-    for (const std::string &target : plan.notices) {
+    for (const std::string &target : plan.loadNotices) {
         options_.beforeLoad(target);
     }
     callEngines(std::span(plan.orders), &WeightsDuty::send, &WeightsDuty::takeSent);
@@ -144,7 +144,7 @@
     {
         const std::lock_guard lock(mutex_);
         for (const std::string &target : std::exchange(orderedByOthers_, {})) {
-            scheduler_.onOrderOfOther(target, BootClock::now());
+            scheduler_.onOrderByOther(target, BootClock::now());
         }
         if (!isChanged_) {
             return;
@@ -153,14 +153,14 @@
         current_ = targets_;
         named = named_;
     }
-    std::vector<WantedEngine> wanted;
+    std::vector<DesiredEngine> wanted;
     for (const auto &[id, target] : *current_) {
         for (const ServedModel &model : target.models) {
             const auto version = named.find(model.name);
             if (target.isLeaving || version == named.end()) {
                 continue;
             }
-            WantedEngine engine;
+            DesiredEngine engine;
             engine.target = id;
             engine.checksFencing = options_.enginesCheckFencing;
             engine.state.model = model.name;
@@ -170,7 +170,7 @@
             wanted.push_back(std::move(engine));
         }
     }
-    scheduler_.setWanted(wanted, BootClock::now());
+    scheduler_.setDesired(wanted, BootClock::now());
 }
 
 /// The lease is renewed between batches, which take no longer than a few calls that nobody answers.
--- a/gateway/weights_duty.h
+++ b/gateway/weights_duty.h
@@ -48,7 +48,7 @@
     void setNamedWeights(const std::vector<NamedWeights> &weights);
 
     /// Another host was heard to order this engine, or to be about to.
-    void onOrderOfOther(const std::string &targetId);
+    void onOrderByOther(const std::string &targetId);
 
     /// The host that holds the leader's key; empty if nobody does.
     void setLeader(const std::string &host);
--- a/main/gateway_host.cpp
+++ b/main/gateway_host.cpp
@@ -71,12 +71,12 @@
     options.loadTimeout = std::chrono::seconds(3); // A load takes about 0.4 s; an engine that doesn't answer must not hold up the others.
     // An ordered engine first ends what it runs, for about as long as it then loads. With three orders at once 18 engines took over
     // 8 s and broke the deadline for new weights; with six they take 4 s. A third of the engines is what the rest can stand in for.
-    options.loadShare = 1.0 / 3;
+    options.maxLoadFraction = 1.0 / 3;
     options.loadNotice = loadNotice;
-    options.reportLag = std::chrono::milliseconds(600); // Reports are some hundred milliseconds old; a load takes about 400.
-    options.loadPause = std::chrono::milliseconds(200);
-    options.checkPause = std::chrono::minutes(5); // Engines write what they run into their entries.
-    options.retryPause = std::chrono::milliseconds(300);
+    options.maxReportAge = std::chrono::milliseconds(600); // Reports are some hundred milliseconds old; a load takes about 400.
+    options.loadPollInterval = std::chrono::milliseconds(200);
+    options.pollInterval = std::chrono::minutes(5); // Engines write what they run into their entries.
+    options.retryDelay = std::chrono::milliseconds(300);
     return options;
 }
 
@@ -139,7 +139,7 @@
     gateway_.fleet().setRelayedStore(relayedStore_);
     gateway_.setWeightsListener([this](const std::vector<NamedWeights> &weights) { weightsDuty_.setNamedWeights(weights); });
     gateway_.fleet().setQuarantineRecorder([this](RequestFingerprint request) { hostDuty_.recordQuarantine(request); });
-    gateway_.fleet().setOrderListener([this](const std::string &target) { weightsDuty_.onOrderOfOther(target); });
+    gateway_.fleet().setOrderListener([this](const std::string &target) { weightsDuty_.onOrderByOther(target); });
 }
 
 ConfigurationFeed::Listeners GatewayHost::listeners()
@@ -187,8 +187,8 @@
     options.deadline = settings_.weightsDeadline;
     options.recordsPrefix = weightsPrefix;
     options.orders = orderOptions();
-    options.orders.turnPause = options.lease.timeToLive;
-    options.orders.hearsSince = BootClock::now();
+    options.orders.handoverDelay = options.lease.timeToLive;
+    options.orders.listeningSince = BootClock::now();
     options.beforeLoad = [this](const std::string &target) {
         gateway_.post([target](Gateway &gateway) { gateway.fleet().announceLoading(target, announcedLoad); });
     };
--- a/servers/claim_service.cpp
+++ b/servers/claim_service.cpp
@@ -45,15 +45,15 @@
 ClaimOutcome ClaimService::run(const ClaimCall &call, const ClaimActions &actions)
 {
     ClaimRunner runner(table_, lease_, store_, prefix_, call, randomHex(nonceBytes));
-    ClaimStep step = ClaimStep::Again;
+    ClaimStep step = ClaimStep::Continue;
     while (true) {
         switch (step) {
-        case ClaimStep::Again:
+        case ClaimStep::Continue:
             step = runner.step(BootClock::now());
             break;
         case ClaimStep::AskHolder: {
             const auto reply = askHolder_(runner.query());
-            step = reply ? runner.onHolderReply(*reply, BootClock::now()) : runner.onHolderSilent(BootClock::now());
+            step = reply ? runner.onHolderReply(*reply, BootClock::now()) : runner.onHolderTimeout(BootClock::now());
             break;
         }
         case ClaimStep::Send:
@@ -72,7 +72,7 @@
 {
     Reason reason;
     if (!actions.connect(reason) || !actions.mayRun(reason)) {
-        return runner.abandon(reason, BootClock::now());
+        return runner.cancel(reason, BootClock::now());
     }
     if (!runner.beginSend(BootClock::now())) {
         return ClaimStep::Refuse;
--- a/servers/peer_codec.cpp
+++ b/servers/peer_codec.cpp
@@ -8,7 +8,7 @@
     to.setFrom(from.from);
     to.setFromIncarnation(from.fromIncarnation);
     to.setTo(from.to);
-    to.setAskId(from.askId);
+    to.setAskId(from.debitId);
     to.setTeam(from.team);
     to.setAmount(from.amount);
 }
@@ -19,7 +19,7 @@
     to.setFromIncarnation(from.fromIncarnation);
     to.setTo(from.to);
     to.setToIncarnation(from.toIncarnation);
-    to.setAskId(from.askId);
+    to.setAskId(from.debitId);
     to.setTeam(from.team);
     to.setGranted(from.granted);
     to.setBalance(from.balance);
@@ -32,7 +32,7 @@
     to.setFromIncarnation(from.fromIncarnation);
     to.setTo(from.to);
     to.setToIncarnation(from.toIncarnation);
-    to.setAskId(from.askId);
+    to.setAskId(from.debitId);
     to.setIsUsed(from.isUsed);
     to.setUsed(from.used);
 }
@@ -49,7 +49,7 @@
     reply.fromIncarnation = toString(from.getFromIncarnation());
     reply.to = toString(from.getTo());
     reply.toIncarnation = toString(from.getToIncarnation());
-    reply.askId = from.getAskId();
+    reply.debitId = from.getAskId();
     reply.team = toString(from.getTeam());
     reply.granted = from.getGranted();
     reply.balance = from.getBalance();
@@ -64,7 +64,7 @@
     settlement.fromIncarnation = toString(from.getFromIncarnation());
     settlement.to = toString(from.getTo());
     settlement.toIncarnation = toString(from.getToIncarnation());
-    settlement.askId = from.getAskId();
+    settlement.debitId = from.getAskId();
     settlement.isUsed = from.getIsUsed();
     settlement.used = from.getUsed();
     return settlement;
--- a/servers/share_service.cpp
+++ b/servers/share_service.cpp
@@ -34,7 +34,7 @@
     const std::uint64_t id = ++lastId_;
     ShareDecision decision = ledger_.admit(team, tokens, id, BootClock::now());
     send(decision);
-    if (decision.verdict == ShareVerdict::Ask) {
+    if (decision.verdict == ShareVerdict::Pending) {
         metrics_.add("lovageloft_remote_debits_total");
         decision = waitForAnswers(lock, std::move(decision));
     }
@@ -50,7 +50,7 @@
     const auto waiter = std::make_shared<Waiter>();
     const std::uint64_t id = asked.requestId;
     waiters_.emplace(id, waiter);
-    while (asked.verdict == ShareVerdict::Ask) {
+    while (asked.verdict == ShareVerdict::Pending) {
         waiter->decided.wait_until(lock, steadyTime(asked.deadline), [&waiter] { return waiter->decision.has_value(); });
         if (waiter->decision) {
             asked = std::move(*waiter->decision);
@@ -66,10 +66,10 @@
 
 void ShareService::send(const ShareDecision &decision)
 {
-    for (const DebitRequest &ask : decision.asks) {
+    for (const DebitRequest &ask : decision.debitRequests) {
         transport_->ask(ask);
     }
-    for (const DebitSettlement &settlement : decision.returns) {
+    for (const DebitSettlement &settlement : decision.settlements) {
         transport_->settle(settlement);
     }
 }
@@ -110,7 +110,7 @@
 void ShareService::setConfiguration(std::int64_t version, const ConfigurationState &state)
 {
     const std::lock_guard lock(mutex_);
-    ShareConfiguration configuration = shareConfiguration(version, state);
+    ShareConfiguration configuration = makeShareConfiguration(version, state);
     if (configuration.hosts.empty() && isAlone_) {
         configuration.hosts.push_back(host_);
     }
--- a/tests/coordination/share_test_options.h
+++ b/tests/coordination/share_test_options.h
@@ -21,7 +21,7 @@
     ShareOptions options;
     options.growDelay = freshnessWindow;
     options.debitLifetime = debitLifetime;
-    options.gatherLimit = debitLifetime;
+    options.gatherTimeout = debitLifetime;
     return options;
 }
 
--- a/tests/coordination/test_claim_runner.cpp
+++ b/tests/coordination/test_claim_runner.cpp
@@ -60,7 +60,7 @@
         const std::size_t dice = below(100);
         if (dice < 8) {
             const std::size_t key = below(keyCount);
-            attempts_.push_back(std::make_unique<Attempt>(Attempt{key, processes_[host], nullptr, ClaimStep::Again}));
+            attempts_.push_back(std::make_unique<Attempt>(Attempt{key, processes_[host], nullptr, ClaimStep::Continue}));
             Attempt &attempt = *attempts_.back();
             Process &process = *attempt.process;
             attempt.runner = std::make_unique<ClaimRunner>(process.table, process.lease, store_, "p/", callOf(key), std::to_string(++lastNonce_));
@@ -89,7 +89,7 @@
         std::size_t key = 0;
         std::shared_ptr<Process> process;
         std::unique_ptr<ClaimRunner> runner; // After its process, which must outlive it.
-        ClaimStep step = ClaimStep::Again;
+        ClaimStep step = ClaimStep::Continue;
     };
 
     std::size_t below(std::size_t bound)
@@ -121,11 +121,11 @@
         Attempt &attempt = *attempts_[index];
         ClaimRunner &runner = *attempt.runner;
         switch (attempt.step) {
-        case ClaimStep::Again:
+        case ClaimStep::Continue:
             attempt.step = runner.step(now_);
             break;
         case ClaimStep::AskHolder:
-            attempt.step = chance(20) ? runner.onHolderSilent(now_) : runner.onHolderReply(ask(runner.query()), now_);
+            attempt.step = chance(20) ? runner.onHolderTimeout(now_) : runner.onHolderReply(ask(runner.query()), now_);
             break;
         case ClaimStep::Send:
             send(attempt);
@@ -151,7 +151,7 @@
     void send(Attempt &attempt)
     {
         if (chance(10)) {
-            attempt.step = attempt.runner->abandon({ResultCode::NoTarget, "no target"}, now_);
+            attempt.step = attempt.runner->cancel({ResultCode::NoTarget, "no target"}, now_);
             return;
         }
         if (!attempt.runner->beginSend(now_)) {
@@ -200,9 +200,9 @@
 {
     ClaimStep runToEnd(ClaimRunner &runner)
     {
-        ClaimStep step = ClaimStep::Again;
-        while (step == ClaimStep::Again || step == ClaimStep::AskHolder) {
-            step = step == ClaimStep::Again ? runner.step(now) : runner.onHolderReply(ask(runner.query()), now);
+        ClaimStep step = ClaimStep::Continue;
+        while (step == ClaimStep::Continue || step == ClaimStep::AskHolder) {
+            step = step == ClaimStep::Continue ? runner.step(now) : runner.onHolderReply(ask(runner.query()), now);
         }
         return step;
     }
@@ -394,7 +394,7 @@
         other.join();
         BOOST_REQUIRE(isSent != (fate == ClaimFate::NeverSent));
         sentCount += isSent ? 1 : 0;
-        table.onWorkDone(nonce);
+        table.onUpdateDone(nonce);
     }
     BOOST_TEST_MESSAGE(sentCount << " of 2000 were sent first");
 }
--- a/tests/coordination/test_order_rounds.cpp
+++ b/tests/coordination/test_order_rounds.cpp
@@ -37,20 +37,20 @@
 };
 
 /// Engines that say of themselves which weights they have.
-std::vector<WantedEngine>
-wantedEngines(std::size_t count, const std::string &version, const std::string &announced, std::optional<TimePoint> due, bool checksFencing = true)
+std::vector<DesiredEngine>
+desiredEngines(std::size_t count, const std::string &version, const std::string &announced, std::optional<TimePoint> due, bool checksFencing = true)
 {
-    std::vector<WantedEngine> wanted;
+    std::vector<DesiredEngine> desired;
     for (std::size_t i = 0; i < count; ++i) {
-        WantedEngine engine;
+        DesiredEngine engine;
         engine.target = "e" + std::to_string(i);
         engine.checksFencing = checksFencing;
         engine.state = {"m", version, {}, {}, false};
         engine.announced = EngineState{"m", announced, {}, {}, false};
         engine.dueAt = due;
-        wanted.push_back(engine);
+        desired.push_back(engine);
     }
-    return wanted;
+    return desired;
 }
 
 } // namespace
@@ -65,8 +65,8 @@
         OrderOptions options;
         options.loadNotice = 300ms;
         Leader leader(options);
-        leader.scheduler.setWanted(wantedEngines(14, "v2", "v1", start + left), start);
-        return leader.scheduler.plan(leader.lease, start).notices.size();
+        leader.scheduler.setDesired(desiredEngines(14, "v2", "v1", start + left), start);
+        return leader.scheduler.plan(leader.lease, start).loadNotices.size();
     };
     BOOST_TEST(chosenWith(60s) == 3U);
     BOOST_TEST(chosenWith(5s) == 7U);
@@ -78,7 +78,7 @@
 {
     // Where answers run for eight seconds a round takes as long; planned with two, the last engines would miss the deadline.
     OrderOptions options;
-    options.mostLoads = 1;
+    options.maxLoads = 1;
     Leader leader(options);
     const auto ordered = [&](TimePoint now) {
         const OrderPlan plan = leader.scheduler.plan(leader.lease, now);
@@ -87,10 +87,10 @@
         }
         return plan.orders.size();
     };
-    leader.scheduler.setWanted(wantedEngines(10, "v2", "v1", start + 10s), start);
+    leader.scheduler.setDesired(desiredEngines(10, "v2", "v1", start + 10s), start);
     BOOST_TEST(ordered(start) == 3U);
-    leader.scheduler.setWanted(wantedEngines(10, "v2", "v2", start + 10s), start + 7s);
-    leader.scheduler.setWanted(wantedEngines(10, "v3", "v2", start + 17s), start + 7s);
+    leader.scheduler.setDesired(desiredEngines(10, "v2", "v2", start + 10s), start + 7s);
+    leader.scheduler.setDesired(desiredEngines(10, "v3", "v2", start + 17s), start + 7s);
     BOOST_TEST(ordered(start + 7s) >= 6U);
 }
 
@@ -99,16 +99,16 @@
     // A leader is cut off from the store and another takes over while half of the engines wait for new weights. Engines that check no
     // tokens have to see the orders of the two well apart; those that the first never came to should not have to wait with them.
     OrderOptions options;
-    options.turnPause = 3s;
+    options.handoverDelay = 3s;
     Leader leader(options);
-    leader.scheduler.setWanted(wantedEngines(2, "v2", "v1", std::nullopt, false), start);
-    leader.scheduler.onOrderOfOther("e0", start);
+    leader.scheduler.setDesired(desiredEngines(2, "v2", "v1", std::nullopt, false), start);
+    leader.scheduler.onOrderByOther("e0", start);
     BOOST_TEST(leader.scheduler.plan(leader.lease, start + 299ms).orders.empty());
     const OrderPlan soon = leader.scheduler.plan(leader.lease, start + 300ms);
     BOOST_REQUIRE(soon.orders.size() == 1U);
     BOOST_TEST(soon.orders.front().target == "e1");
     BOOST_TEST(leader.scheduler.plan(leader.lease, start + 2500ms).orders.empty());
-    leader.scheduler.setWanted(wantedEngines(2, "v2", "v1", std::nullopt, false), start + 2600ms);
+    leader.scheduler.setDesired(desiredEngines(2, "v2", "v1", std::nullopt, false), start + 2600ms);
     const OrderPlan later = leader.scheduler.plan(leader.lease, start + 3s);
     BOOST_REQUIRE(later.orders.size() == 1U);
     BOOST_TEST(later.orders.front().target == "e0");
@@ -118,10 +118,10 @@
 {
     // A host that starts and leads at once can't have heard what the leader before ordered.
     OrderOptions options;
-    options.turnPause = 3s;
-    options.hearsSince = start - 1s;
+    options.handoverDelay = 3s;
+    options.listeningSince = start - 1s;
     Leader leader(options);
-    leader.scheduler.setWanted(wantedEngines(1, "v2", "v1", std::nullopt, false), start);
+    leader.scheduler.setDesired(desiredEngines(1, "v2", "v1", std::nullopt, false), start);
     BOOST_TEST(leader.scheduler.plan(leader.lease, start + 1999ms).orders.empty());
     BOOST_TEST(leader.scheduler.plan(leader.lease, start + 2s).orders.size() == 1U);
 }
--- a/tests/coordination/test_order_scheduler.cpp
+++ b/tests/coordination/test_order_scheduler.cpp
@@ -56,13 +56,13 @@
     }
 };
 
-std::vector<WantedEngine> wantedEngines(std::size_t count, const std::string &version)
+std::vector<DesiredEngine> desiredEngines(std::size_t count, const std::string &version)
 {
-    std::vector<WantedEngine> wanted(count);
+    std::vector<DesiredEngine> desired(count);
     for (std::size_t i = 0; i < count; ++i) {
-        wanted[i] = {"e" + std::to_string(i), i % 2 == 0, {"m", version, {"georgian"}, "decode", false}};
+        desired[i] = {"e" + std::to_string(i), i % 2 == 0, {"m", version, {"georgian"}, "decode", false}};
     }
-    return wanted;
+    return desired;
 }
 
 /// Hosts that compete for the lease and engines that follow orders, in virtual time.
@@ -70,26 +70,26 @@
 {
 public:
     Deployment(std::size_t hosts, std::size_t engineCount, std::uint64_t seed = 0, const OrderOptions &options = {})
-        : wanted(wantedEngines(engineCount, "v1"))
+        : desired(desiredEngines(engineCount, "v1"))
         , random_(seed)
     {
-        for (const WantedEngine &engine : wanted) {
+        for (const DesiredEngine &engine : desired) {
             engines[engine.target].checksFencing = engine.checksFencing;
         }
         hosts_.resize(hosts);
         for (std::size_t i = 0; i < hosts; ++i) {
             hosts_[i].scheduler = OrderScheduler(options);
             hosts_[i].lease = std::make_unique<LeaseHolder>(store, "p/orders", "h" + std::to_string(i));
-            hosts_[i].scheduler.setWanted(wanted, now());
+            hosts_[i].scheduler.setDesired(desired, now());
             turn(i);
         }
     }
 
     void setVersion(const std::string &version)
     {
-        wanted = wantedEngines(wanted.size(), version);
+        desired = desiredEngines(desired.size(), version);
         for (Host &host : hosts_) {
-            host.scheduler.setWanted(wanted, now());
+            host.scheduler.setDesired(desired, now());
         }
     }
 
@@ -117,7 +117,7 @@
 
     bool isAsWanted() const
     {
-        return std::all_of(wanted.begin(), wanted.end(), [this](const WantedEngine &engine) {
+        return std::all_of(desired.begin(), desired.end(), [this](const DesiredEngine &engine) {
             const EngineState &state = engines.at(engine.target).state;
             return state.weightsVersion == engine.state.weightsVersion && state.adapters == engine.state.adapters && state.role == "decode";
         });
@@ -146,7 +146,7 @@
     }
 
     LossyStore store{[this] { return now(); }};
-    std::vector<WantedEngine> wanted;
+    std::vector<DesiredEngine> desired;
     std::map<std::string, FakeEngine> engines;
     std::size_t orders = 0;
     std::size_t mostLoading = 0;
@@ -199,7 +199,7 @@
                 onHost(i, delay(), [this, i, target, state] { hosts_[i].scheduler.onState(target, state, now()); });
             });
         }
-        for (const std::string &target : plan.notices) {
+        for (const std::string &target : plan.loadNotices) {
             noticedAt[target] = now();
         }
         for (const Order &order : plan.orders) {
@@ -247,9 +247,9 @@
 struct Leader
 {
     explicit Leader(std::size_t engineCount)
-        : wanted(wantedEngines(engineCount, "v1"))
+        : desired(desiredEngines(engineCount, "v1"))
     {
-        scheduler.setWanted(wanted, start);
+        scheduler.setDesired(desired, start);
         for (int step = 0; step < 3; ++step) {
             lease.step(start);
         }
@@ -258,7 +258,7 @@
     Order firstOrder(TimePoint now)
     {
         scheduler.plan(lease, now);
-        for (const WantedEngine &engine : wanted) {
+        for (const DesiredEngine &engine : desired) {
             scheduler.onState(engine.target, engine.target == "e0" ? EngineState{} : engine.state, now);
         }
         const OrderPlan plan = scheduler.plan(lease, now);
@@ -268,7 +268,7 @@
 
     TimePoint start = TimePoint(1h);
     LossyStore store{[this] { return start; }};
-    std::vector<WantedEngine> wanted;
+    std::vector<DesiredEngine> desired;
     LeaseHolder lease{store, "p/orders", "h9"};
     OrderScheduler scheduler;
 };
@@ -378,7 +378,7 @@
     BOOST_TEST(!lapsing.scheduler.maySend(last, lapsing.lease, lapsing.start + 8100ms));
     Leader overruled(4);
     const Order stale = overruled.firstOrder(overruled.start);
-    overruled.scheduler.setWanted(wantedEngines(4, "v2"), overruled.start);
+    overruled.scheduler.setDesired(desiredEngines(4, "v2"), overruled.start);
     BOOST_TEST(!overruled.scheduler.maySend(stale, overruled.lease, overruled.start));
 }
 
@@ -389,14 +389,14 @@
     Leader leader(2);
     leader.scheduler.onOutcome(leader.firstOrder(leader.start), OrderOutcome::Accepted, leader.start);
     leader.scheduler.plan(leader.lease, leader.start);
-    leader.scheduler.onState("e0", leader.wanted[0].state, leader.start);
+    leader.scheduler.onState("e0", leader.desired[0].state, leader.start);
     const TimePoint later = leader.start + 5500ms;
     BOOST_TEST(leader.scheduler.plan(leader.lease, later).reads.size() == 2);
-    leader.scheduler.setWanted(wantedEngines(2, "v2"), later);
+    leader.scheduler.setDesired(desiredEngines(2, "v2"), later);
     const OrderPlan plan = leader.scheduler.plan(leader.lease, later);
     BOOST_REQUIRE(plan.orders.size() == 1);
     leader.scheduler.onOutcome(plan.orders[0], OrderOutcome::Accepted, later + 100ms);
-    leader.scheduler.onState("e0", leader.wanted[0].state, later + 200ms);
+    leader.scheduler.onState("e0", leader.desired[0].state, later + 200ms);
     const OrderPlan next = leader.scheduler.plan(leader.lease, later + 2s);
     BOOST_TEST(next.orders.empty());
     BOOST_TEST(std::count(next.reads.begin(), next.reads.end(), "e0") == 1);
--- a/tests/coordination/test_share_ledger.cpp
+++ b/tests/coordination/test_share_ledger.cpp
@@ -39,15 +39,15 @@
     {
         ShareLedger &asker = ledgers.at(host);
         ShareDecision decision = asker.admit("desk", cost, id, now);
-        while (decision.verdict == ShareVerdict::Ask) {
+        while (decision.verdict == ShareVerdict::Pending) {
             ShareDecision next;
-            for (const DebitRequest &ask : decision.asks) {
+            for (const DebitRequest &ask : decision.debitRequests) {
                 asked += 1;
                 next = silent.contains(ask.to) ? next : asker.onDebitReply(ledgers.at(ask.to).onDebitRequest(ask, now), now);
             }
             decision = next.verdict == ShareVerdict::None ? asker.onTimeout(id, decision.deadline) : next;
         }
-        for (const DebitSettlement &settlement : decision.returns) {
+        for (const DebitSettlement &settlement : decision.settlements) {
             ledgers.at(settlement.to).onSettlement(settlement, now);
         }
         return decision;
@@ -128,13 +128,13 @@
     SmallFleet fleet(3, 9, 900);
     ShareLedger &asker = fleet.ledgers.at("h0");
     const ShareDecision first = asker.admit("desk", 500, 1, at(300s));
-    BOOST_REQUIRE(first.asks.size() == 1);
-    ShareLedger &home = fleet.ledgers.at(first.asks[0].to);
-    home.onDebitRequest({"h9", "1", first.asks[0].to, 1, "desk", 250}, at(300s));
-    const ShareDecision second = asker.onDebitReply(home.onDebitRequest(first.asks[0], at(300s)), at(300s + 40ms));
-    BOOST_REQUIRE(second.asks.size() == 1);
+    BOOST_REQUIRE(first.debitRequests.size() == 1);
+    ShareLedger &home = fleet.ledgers.at(first.debitRequests[0].to);
+    home.onDebitRequest({"h9", "1", first.debitRequests[0].to, 1, "desk", 250}, at(300s));
+    const ShareDecision second = asker.onDebitReply(home.onDebitRequest(first.debitRequests[0], at(300s)), at(300s + 40ms));
+    BOOST_REQUIRE(second.debitRequests.size() == 1);
     BOOST_TEST((asker.onTimeout(1, first.deadline).verdict == ShareVerdict::None));
-    const DebitReply reply = fleet.ledgers.at(second.asks[0].to).onDebitRequest(second.asks[0], at(300s + 60ms));
+    const DebitReply reply = fleet.ledgers.at(second.debitRequests[0].to).onDebitRequest(second.debitRequests[0], at(300s + 60ms));
     BOOST_TEST((asker.onDebitReply(reply, at(300s + 110ms)).verdict == ShareVerdict::Admit));
 }
 
@@ -206,7 +206,7 @@
     SmallFleet fleet(2, 10, 1000);
     ShareLedger &asker = fleet.ledgers.at("h0");
     const ShareDecision ask = asker.admit("desk", 900, 1, at(300s));
-    DebitReply reply = fleet.ledgers.at("h1").onDebitRequest(ask.asks.at(0), at(300s));
+    DebitReply reply = fleet.ledgers.at("h1").onDebitRequest(ask.debitRequests.at(0), at(300s));
     reply.toIncarnation = "0";
     BOOST_TEST((asker.onDebitReply(reply, at(300s)).verdict == ShareVerdict::None));
 }
@@ -218,11 +218,11 @@
     SmallFleet fleet(2, 10, 1000);
     ShareLedger &asker = fleet.ledgers.at("h0");
     const ShareDecision ask = asker.admit("desk", 800, 1, at(300s));
-    BOOST_REQUIRE(ask.asks.size() == 1);
-    const DebitReply reply = fleet.ledgers.at("h1").onDebitRequest(ask.asks[0], at(300s));
+    BOOST_REQUIRE(ask.debitRequests.size() == 1);
+    const DebitReply reply = fleet.ledgers.at("h1").onDebitRequest(ask.debitRequests[0], at(300s));
     const ShareDecision late = asker.onDebitReply(reply, at(302s));
     BOOST_TEST((late.verdict == ShareVerdict::Refuse));
-    BOOST_TEST(late.returns.size() == 1);
+    BOOST_TEST(late.settlements.size() == 1);
     BOOST_TEST((asker.onDebitReply(reply, at(302s)).verdict == ShareVerdict::None));
 }
 
@@ -234,14 +234,14 @@
     ShareLedger &asker = fleet.ledgers.at("h0");
     ShareLedger &home = fleet.ledgers.at("h1");
     const ShareDecision ask = asker.admit("desk", 1000, 1, at(300s));
-    const DebitReply reply = home.onDebitRequest(ask.asks.at(0), at(300s));
+    const DebitReply reply = home.onDebitRequest(ask.debitRequests.at(0), at(300s));
     BOOST_TEST(home.balance("desk", at(300s)) == 0);
     BOOST_TEST((asker.onTimeout(1, ask.deadline).verdict == ShareVerdict::Refuse));
     const ShareDecision late = asker.onDebitReply(reply, at(300s + 200ms));
-    BOOST_REQUIRE(late.returns.size() == 1);
-    home.onSettlement(late.returns[0], at(300s + 200ms));
+    BOOST_REQUIRE(late.settlements.size() == 1);
+    home.onSettlement(late.settlements[0], at(300s + 200ms));
     BOOST_TEST(home.balance("desk", at(300s + 200ms)) == 500);
-    BOOST_TEST(asker.onDebitReply(reply, at(300s + 300ms)).returns.empty());
+    BOOST_TEST(asker.onDebitReply(reply, at(300s + 300ms)).settlements.empty());
 }
 
 BOOST_AUTO_TEST_CASE(aHostThatIsNotFreshSpendsAndRefillsNothing)
--- a/tests/coordination/test_share_windows.cpp
+++ b/tests/coordination/test_share_windows.cpp
@@ -94,7 +94,7 @@
         configuration_.version = 1;
         configuration_.teams = {{"desk", 1000, 2000}, {"press", 50, 500}};
         log_.push_back(configuration_);
-        for (const TeamShare &team : configuration_.teams) {
+        for (const TeamLimits &team : configuration_.teams) {
             checks_[team.team].setLimits(team.rate, team.burst, now());
         }
         for (std::size_t i = 0; i < poolSize; ++i) {
@@ -221,7 +221,7 @@
             double rate = 0;
             double burst = 0;
             for (std::int64_t version = std::min(first, limitFrom(first)); version <= last; ++version) {
-                for (const TeamShare &share : log_[version - 1].teams) {
+                for (const TeamLimits &share : log_[version - 1].teams) {
                     rate = share.team == team ? std::max(rate, share.rate) : rate;
                     burst = share.team == team ? std::max(burst, share.burst) : burst;
                 }
@@ -246,7 +246,7 @@
     {
         ++configuration_.version;
         if (chance(60)) {
-            TeamShare &team = configuration_.teams[below(2)];
+            TeamLimits &team = configuration_.teams[below(2)];
             team.rate = static_cast<double>(10 + below(2000));
             team.burst = static_cast<double>(100 + below(2000));
         } else if (const std::string host = name(below(poolSize)); std::erase(configuration_.hosts, host) == 0 || configuration_.hosts.empty()) {
@@ -286,17 +286,17 @@
 
     void act(std::size_t i, const ShareDecision &decision)
     {
-        for (const DebitRequest &ask : decision.asks) {
+        for (const DebitRequest &ask : decision.debitRequests) {
             send(i, ask.to, [this, i, ask](std::size_t home, ShareLedger &ledger) {
                 const DebitReply reply = ledger.onDebitRequest(ask, now());
                 send(home, reply.to, [this, i, reply](std::size_t, ShareLedger &asker) { act(i, asker.onDebitReply(reply, now())); });
             });
         }
-        for (const DebitSettlement &settlement : decision.returns) {
+        for (const DebitSettlement &settlement : decision.settlements) {
             sendSettlement(i, settlement);
         }
         const std::uint64_t id = decision.requestId;
-        if (decision.verdict == ShareVerdict::Ask) {
+        if (decision.verdict == ShareVerdict::Pending) {
             onHost(i, decision.deadline - now(), [this, i, id](ShareLedger &ledger) { act(i, ledger.onTimeout(id, now())); });
         }
         refused += decision.verdict == ShareVerdict::Refuse ? 1 : 0;
--- a/tests/platform/test_orders_beside_silent_engines.cpp
+++ b/tests/platform/test_orders_beside_silent_engines.cpp
@@ -57,8 +57,8 @@
         options.lease.timeToLive = 3s;
         options.lease.margin = 300ms;
         options.lease.settleTime = Duration::zero();
-        options.orders.loadShare = 1;
-        options.orders.reportLag = 100ms;
+        options.orders.maxLoadFraction = 1;
+        options.orders.maxReportAge = 100ms;
         options.orders.loadNotice = 100ms;
         options.recordsPrefix = "weights/";
         options.deadline = 10s;
