--- a/benchmarks/shares/shares_wasted.cpp
+++ b/benchmarks/shares/shares_wasted.cpp
@@ -1,6 +1,6 @@
-/// Measures the wasted share: what a team inside its rate is refused because its tokens lie at other hosts. Traffic inside
-/// the rate is what one ideal bucket for the whole fleet lets through; what the ledgers refuse of that counts as wasted.
-/// All time is virtual, so the figures are the same on any machine.
+/// Measures the wasted part of a team's rate: tokens refused to a team within its rate because they are on other hosts. Traffic within
+/// the rate is what a single token bucket for the whole fleet admits; tokens of it that the ledgers refuse count as wasted. Time is
+/// virtual, so the results are the same on any machine.
 
 #include <algorithm>
 #include <cmath>
@@ -31,8 +31,8 @@
 enum class Skew
 {
     Even,
-    Half, ///< Half of the team's requests at one host, the rest anywhere.
-    One, ///< All at one host.
+    Half, ///< Half of the team's requests at one host, the rest at any host.
+    One, ///< All requests at one host.
 };
 
 struct Scenario
@@ -40,22 +40,22 @@
     const char *name;
     std::size_t hosts;
     Skew skew;
-    double load; ///< Offered tokens over the team's rate.
-    double burstSeconds; ///< Burst over rate.
-    bool losesHost; ///< One host dies as the measuring begins.
-    Duration removedAfter; ///< When the list without it is in force; zero: never.
+    double load; ///< Offered load as a fraction of the team's rate.
+    double burstSeconds; ///< Burst divided by rate.
+    bool losesHost; ///< Whether one host dies when the measurement starts.
+    Duration removedAfter; ///< When the configuration without the dead host is in force; zero for never.
 };
 
 struct Outcome
 {
     double offered = 0;
     double wasted = 0;
-    double wastedLate = 0; ///< From 10 s after the loss on.
-    double offeredLate = 0;
-    std::size_t drawn = 0; ///< Requests before the ideal bucket.
-    std::size_t requests = 0;
+    double wastedLate = 0; ///< From 10 s after the loss of the host.
+    double offeredLate = 0; ///< Likewise.
+    std::size_t drawn = 0; ///< Generated requests, before the ideal bucket.
+    std::size_t requests = 0; ///< Requests that the ideal bucket admitted.
     std::size_t messages = 0;
-    std::size_t asked = 0; ///< Requests that had to wait for other hosts.
+    std::size_t asked = 0; ///< Requests that had to wait for replies of other hosts.
 
     Outcome &operator+=(const Outcome &other)
     {
@@ -94,12 +94,12 @@
 
     Outcome run()
     {
-        arrive();
+        scheduleRequest();
         if (scenario_.losesHost) {
             at(warmUp, [this] { isAlive_.back() = false; });
         }
         if (scenario_.removedAfter > 0s) {
-            at(warmUp + scenario_.removedAfter, [this] { removeLost(); });
+            at(warmUp + scenario_.removedAfter, [this] { removeDeadHost(); });
         }
         while (!events_.empty() && events_.top().time < TimePoint{} + warmUp + measured) {
             const Event event = events_.top();
@@ -147,7 +147,7 @@
         return boost::random::uniform_01<double>()(random_);
     }
 
-    void removeLost()
+    void removeDeadHost()
     {
         ++configuration_.version;
         configuration_.hosts.pop_back();
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Three quarters are short questions; the rest carry chapter tables of up to 60,000 tokens.
+    /// Three quarters are short prompts; the rest are long documents of up to 60,000 tokens.
     double drawCost()
     {
         return unit() < 0.75 ? 100 + 900 * unit() : 2'000 + 58'000 * std::pow(unit(), 3);
@@ -169,7 +169,7 @@
         return isAlive_[host] ? host : 0;
     }
 
-    void arrive()
+    void scheduleRequest()
     {
         constexpr double meanCost = 0.75 * 550 + 0.25 * 16'500;
         constexpr double usedPart = 0.85;
@@ -177,7 +177,7 @@
         later(fromSeconds(boost::random::exponential_distribution<double>(perSecond)(random_)), [this] {
             const double cost = drawCost();
             const std::uint64_t id = ++lastRequest_;
-            arrive();
+            scheduleRequest();
             ++outcome_.drawn;
             if (!ideal_.consume(cost, now_)) {
                 return;
@@ -190,7 +190,7 @@
             const std::size_t host = drawHost();
             const ShareDecision decision = ledgers_[host]->admit("team", cost, id, now_);
             outcome_.asked += decision.verdict == ShareVerdict::Pending ? 1 : 0;
-            act(host, decision);
+            handleDecision(host, decision);
         });
     }
 
@@ -201,18 +201,18 @@
         late += time >= warmUp + 10s ? tokens : 0;
     }
 
-    void act(std::size_t host, const ShareDecision &decision)
+    void handleDecision(std::size_t host, const ShareDecision &decision)
     {
-        for (const DebitRequest &ask : decision.debitRequests) {
-            send(ask.to, [this, host, ask](ShareLedger &home) {
-                const DebitReply reply = home.onDebitRequest(ask, now_);
-                send(reply.to, [this, host, reply](ShareLedger &asker) { act(host, asker.onDebitReply(reply, now_)); });
+        for (const DebitRequest &debitRequest : decision.debitRequests) {
+            send(debitRequest.to, [this, host, debitRequest](ShareLedger &home) {
+                const DebitReply reply = home.onDebitRequest(debitRequest, now_);
+                send(reply.to, [this, host, reply](ShareLedger &requester) { handleDecision(host, requester.onDebitReply(reply, now_)); });
             });
         }
         settle(decision.settlements);
         const std::uint64_t id = decision.requestId;
         if (decision.verdict == ShareVerdict::Pending) {
-            later(decision.deadline - now_, [this, host, id] { act(host, ledgers_[host]->onTimeout(id, now_)); });
+            later(decision.deadline - now_, [this, host, id] { handleDecision(host, ledgers_[host]->onTimeout(id, now_)); });
         }
         if (decision.verdict == ShareVerdict::Refuse) {
             count(requests_[id].cost, outcome_.wasted, outcome_.wastedLate);
--- a/coordination/share_bucket.cpp
+++ b/coordination/share_bucket.cpp
@@ -107,7 +107,7 @@
 
 void ShareBucket::refill(TimePoint now)
 {
-    // Each reservation holds its room back until its own end, however long the host slept past it.
+    // Each reservation occupies capacity until it expires, even if the host was suspended long past that time.
     while (!reservations_.empty() && reservations_.front().expiresAt <= now) {
         refillTo(reservations_.front().expiresAt);
         reserved_ -= reservations_.front().amount;
@@ -131,7 +131,8 @@
 
 void ShareBucket::capLevel()
 {
-    // A debt is never forgiven by the cap: the room may be negative while old reservations outlast a shrunken size.
+    // The cap keeps a negative level: a debt is not canceled. burst - reserved is negative while reservations exceed a reduced
+    // capacity, which must not create a debt.
     const double room = std::max(burst_ - reserved_, 0.0);
     level_ = std::min(level_, room);
 }
--- a/coordination/share_bucket.h
+++ b/coordination/share_bucket.h
@@ -8,55 +8,55 @@
 namespace Lovageloft
 {
 
-/// Amounts that differ by less count as equal: a burst split over nine hosts and summed again misses the whole by rounding.
+/// Amounts that differ by less count as equal: a burst divided by nine hosts and summed again differs from the total by rounding.
 constexpr double tokenTolerance = 1e-6;
 
-/// A token bucket whose tokens can also be reserved: debited now and used within a bounded time, or never.
+/// A token bucket that also supports reservations: tokens debited now and used within a bounded time, or never.
 ///
-/// What goes wrong with a plain bucket: tokens debited from a full bucket are used up to a second later, by which time
-/// the bucket has filled again, and a burst and a second's refill pass at once. One would notice a team over its burst
-/// after each remote debit. Reserved tokens therefore go on taking room: level + reserved never exceeds the burst, so
-/// that whenever the use falls within that time the sum is the same as if the tokens had lain in the bucket until then.
+/// With a plain bucket, tokens debited from a full bucket could be used up to a second later, after the bucket has refilled,
+/// so that the burst plus the refill of that second pass at once: each remote debit would let a team exceed its burst.
+/// Reserved tokens therefore keep occupying capacity: level + reserved never exceeds the burst. Whenever the tokens are used
+/// within that time, the total is the same as if they had stayed in the bucket until then.
 class ShareBucket
 {
 public:
-    /// An empty bucket that begins to refill at `start`.
+    /// Creates an empty bucket that starts to refill at `start`.
     explicit ShareBucket(TimePoint start = {});
 
-    /// Sets the refill in tokens a second and the size in tokens. A smaller size takes the tokens above it away.
+    /// Sets the refill rate in tokens per second and the capacity in tokens. Tokens above a reduced capacity are removed.
     void setLimits(double rate, double burst, TimePoint now);
 
-    /// Tokens that can be spent at `now`; negative while a debt is paid off.
+    /// Tokens available at `now`; negative while a debt is being paid off.
     double level(TimePoint now);
 
-    /// Tokens debited that may still be used or returned; as of the last call with a time.
+    /// Tokens reserved that may still be used or released, as of the last call that took a time.
     double reserved() const;
 
     double rate() const;
     double burst() const;
 
-    /// Spends at once. False and nothing done if the level is too low.
+    /// Removes tokens at once. Returns false and changes nothing if the level is too low.
     bool consume(double amount, TimePoint now);
 
-    /// Debits up to `amount`, to be used before `expiresAt` or returned; returns what was debited, at least 0.
+    /// Reserves up to `amount` tokens, to be committed before `expiresAt` or released. Returns the tokens reserved, 0 or more.
     double reserve(double amount, TimePoint expiresAt, std::uint64_t id, TimePoint now);
 
-    /// The reserved tokens were used: they no longer take room. Nothing happens for an id that is not reserved any more.
+    /// Marks reserved tokens as used, so that they no longer occupy capacity. Does nothing if the reservation has expired.
     void commit(std::uint64_t id, TimePoint now);
 
-    /// Puts reserved tokens back that will never be used; returns how many, 0 once their time has passed.
+    /// Returns reserved tokens that will not be used to the bucket. Returns their number, 0 if the reservation has expired.
     double release(std::uint64_t id, TimePoint now);
 
-    /// Returns tokens charged for more than was used, up to the size; the rest is lost.
+    /// Adds tokens that were charged and not used, up to the capacity. Returns the tokens added; the rest is lost.
     double refund(double amount, TimePoint now);
 
-    /// Charges what was used beyond the estimate; the level may become negative.
+    /// Removes tokens that were used beyond the estimate; the level may become negative.
     void charge(double amount, TimePoint now);
 
-    /// Gives no refill for the time from `from` to `now`.
+    /// Skips the refill for the time from `from` to `now`.
     void skipRefill(TimePoint from, TimePoint now);
 
-    /// Takes all tokens away. What is reserved stays so.
+    /// Removes all tokens. Reservations and debts stay.
     void clear(TimePoint now);
 
 private:
@@ -77,7 +77,7 @@
     double level_ = 0;
     double reserved_ = 0;
     TimePoint refilledAt_;
-    std::deque<Reservation> reservations_; // In the order of `expiresAt`.
+    std::deque<Reservation> reservations_; // Ascending by `expiresAt`.
 };
 
 } // namespace Lovageloft
--- a/coordination/share_hint.h
+++ b/coordination/share_hint.h
@@ -5,22 +5,23 @@
 namespace Lovageloft
 {
 
-/// What a host believes another home to hold of a team's tokens: the balance in its last reply, refilled since, less
-/// what is being asked for. Only a guide to whom to ask; the home alone decides.
+/// Estimate of the tokens that another home holds for a team: the balance in its last reply, plus the refill since, minus the
+/// tokens of pending debit requests. It only guides which home to ask; the home decides what it grants.
 class ShareHint
 {
 public:
-    /// The home's part in tokens a second and tokens.
+    /// Sets the share of the home: rate in tokens per second, burst in tokens.
     void setLimits(double rate, double burst);
 
-    /// The balance expected; the whole burst if nothing was ever heard, 0 while the home counts as silent.
+    /// The expected balance in tokens: the burst if the home has never replied, 0 while it is in backoff.
     double estimate(TimePoint now) const;
 
-    /// The most that the home can hold: its burst where the last news is older than `maxAge`, otherwise the estimate.
+    /// The most tokens that the home can hold: the burst if its last reply is older than `maxAge`, otherwise the estimate.
     double upperBound(TimePoint now, Duration maxAge) const;
 
-    /// Whether the home left the last question unanswered. It is then asked last, and not at all for a while.
+    /// Whether the last debit request to the home timed out. Such a home is asked last, and during its backoff not at all.
     bool isSuspect() const;
+
     bool isInBackoff(TimePoint now) const;
 
     double rate() const;
@@ -28,16 +29,19 @@
 
     void onRequested(double amount);
 
-    /// The home has `balance` left, and `reserved` tokens take room in its bucket until `reservedUntil` at the latest.
+    /// The home replied to a request for `requested` tokens. It has `balance` tokens left, and `reserved` tokens occupy capacity
+    /// of its bucket until `reservedUntil` at the latest.
     void onReply(double requested, double balance, double reserved, TimePoint reservedUntil, TimePoint now);
 
+    /// Tokens that the home granted are returned unused.
     void onReturned(double amount);
 
-    /// The question is no longer waited for.
+    /// The reply to a request is no longer awaited.
     void onRequestAbandoned(double requested);
 
-    /// No answer came in time. The home is left alone for `initialBackoff`, and twice as long each time up to 8 times.
-    /// What goes wrong otherwise: a dead home is believed to be full, is asked first, and each request waits in vain.
+    /// No reply came in time. The home is not asked for `initialBackoff`, and twice as long after each further timeout, up to
+    /// 8 times `initialBackoff`. Otherwise a dead home would be estimated to be full and asked first, and each request would wait
+    /// for its timeout.
     void onTimeout(Duration initialBackoff, TimePoint now);
 
 private:
--- a/coordination/share_ledger.cpp
+++ b/coordination/share_ledger.cpp
@@ -13,20 +13,20 @@
 namespace
 {
 
-/// Each round asks the home believed to be fullest, and its reply corrects the belief: with up to 12 homes about as many
-/// rounds find all that there is. With 3 rounds 2.6% of a team's tokens were refused inside its rate, with 10 under half of that.
+/// Each round asks the home estimated to be fullest, and its reply corrects the estimate. With up to 12 homes, about as many rounds
+/// find all available tokens. With 3 rounds, 2.6% of a team's tokens were refused within its rate; with 10, less than half of that.
 constexpr int maxRounds = 10;
 
-/// A request that would leave less than `minLocalFill` of this host's burst goes to a home that is full to `nearlyFull` of its
-/// own, if there is one: it costs the request a round trip and saves the team the refill that the full home would lose.
+/// Fractions of the burst of a home. A request that would leave this host below `minLocalFill` is charged to a home that is filled
+/// above `nearlyFull`, if there is one. This costs the request a round trip, and saves the team the refill that a full home loses.
 constexpr double minLocalFill = 0.5;
 constexpr double nearlyFull = 0.9;
 
-/// Beliefs about homes are lowered by up to this part, at random, before the fullest is chosen. Without that all hosts
-/// that have heard nothing for a while ask the same home, the first by name, and the others overflow.
+/// Estimates are reduced by a pseudo-random fraction of at most this value before the fullest home is selected. Otherwise all hosts
+/// that have had no reply for some time would ask the same home, the first by name, while the other homes overflow.
 constexpr double estimateJitter = 0.2;
 
-/// A number from 0 to 1 that differs from home to home and from question to question.
+/// A pseudo-random number from 0 to 1 that depends on the home and the debit request.
 double jitter(std::string_view home, std::uint64_t id)
 {
     constexpr double range = 18446744073709551616.0;
@@ -35,7 +35,7 @@
 
 constexpr Duration minRetryAfter = std::chrono::milliseconds(1);
 
-/// Halvings of the span searched for the time of a refill: to a millionth of it.
+/// Bisection steps for the time until a refill suffices: they narrow the interval to a millionth.
 constexpr int refillSearchSteps = 20;
 
 ShareDecision refusal(std::uint64_t requestId, ResultCode code, std::string text, Duration retryAfter = {})
@@ -82,8 +82,8 @@
 
 void ShareLedger::setFreshUntil(TimePoint until, TimePoint now)
 {
-    // A host cut off or paused works by old shares. Were it to refill meanwhile, it would come back with tokens
-    // that others have long been given, and the team would get them twice.
+    // A host that was partitioned or paused uses outdated shares. If its buckets refilled meanwhile, it would return with tokens
+    // that other hosts have been given since, and the team would get them twice.
     if (now > freshUntil_) {
         for (auto &[name, team] : teams_) {
             team.bucket.skipRefill(freshUntil_, now);
@@ -185,7 +185,7 @@
 {
     advance(now);
     const auto pending = pendingRequests_.find(requestId);
-    // The timer of an earlier round goes off during a later one, whose homes would be taken for silent.
+    // The timer of an earlier round may fire during a later one, whose homes must not count as timed out.
     if (pending == pendingRequests_.end() || now < pending->second.deadline) {
         return {};
     }
@@ -238,7 +238,7 @@
     if (settlement.to != host_ || settlement.toIncarnation != incarnation_ || !std::isfinite(settlement.used)) {
         return;
     }
-    // The record goes with the first settlement: a doubled one would refund twice and make tokens.
+    // The first settlement removes the record: a duplicate would refund twice and create tokens.
     const auto found = records_.find({settlement.from, settlement.fromIncarnation, settlement.debitId});
     if (found == records_.end()) {
         return;
@@ -307,8 +307,8 @@
     }
     Team &team = found->second;
     team.split = *split;
-    // A process that has just started may hold a version that others don't know yet, without the older one that still
-    // binds it: what it spent by the newer one alone could come on top of the others' parts.
+    // A process that has just started may hold a version that others do not know yet, without the older version that is still in
+    // force. Tokens spent by the newer version alone could exceed the total together with the shares of the others.
     const HomeShare own = versions_.hasVersionInForce() ? team.split.shareOf(host_) : HomeShare{};
     team.bucket.setLimits(own.rate, own.burst, refillTime(now));
     std::erase_if(team.hints, [&split](const auto &hint) { return split->shareOf(hint.first).burst <= 0; });
@@ -371,8 +371,8 @@
 
 bool ShareLedger::hasFullerHome(Team &team, double cost, TimePoint now) const
 {
-    // Load: most of a team's requests at one host. Its own part would always be spent first and the others' would
-    // overflow meanwhile, so that the team has less than its burst when it needs it.
+    // When most requests of a team arrive at one host, its own share would always be spent first while the buckets of the other homes
+    // overflow, so that the team would have less than its burst when it needs it.
     if (team.bucket.level(now) - cost > minLocalFill * team.bucket.burst()) {
         return false;
     }
@@ -416,8 +416,8 @@
         maxAvailable += candidate.upperBound;
     }
     double shortage = pending->second.cost - pending->second.collected;
-    // Load: a team far over its rate. Asking homes that have just said that they are empty would cost each of its
-    // requests a round of messages to every home and win nothing.
+    // For a team far over its rate, asking homes that have just reported to be empty would cost each request a round of messages to
+    // every home without any gain.
     if (maxAvailable + tokenTolerance < shortage) {
         return {};
     }
@@ -454,8 +454,8 @@
     if (!isFresh(now) || team == nullptr) {
         return refusePending(pending, {ResultCode::NotFresh, "this host can't confirm its configuration"}, now);
     }
-    // A host paused while the answers came may act long after it asked, when the homes have refilled what they
-    // gave: a burst would pass twice. The limit counts from the first question and is within the debits' lifetime.
+    // A host that was paused while the replies arrived may act long after its requests, when the homes have refilled what they
+    // granted: a burst would pass twice. The final deadline counts from the first request and is within the debit lifetime.
     const bool isInTime = now < state.finalDeadline;
     if (!isInTime || state.collected + tokenTolerance < state.cost) {
         return refusePending(pending, {ResultCode::OverRate, "the team has spent its rate and burst"}, now);
@@ -525,7 +525,7 @@
 
 ShareDecision ShareLedger::onLateReply(const DebitReply &reply, TimePoint now)
 {
-    // Only a debit that was surely never used goes back: a doubled answer to one that was used finds nothing here.
+    // Only a debit that was certainly not used is returned: a duplicate reply to a used debit has no entry here.
     ShareDecision decision;
     const auto found = abandonedDebits_.find(reply.debitId);
     if (found == abandonedDebits_.end()) {
--- a/coordination/share_ledger.h
+++ b/coordination/share_ledger.h
@@ -14,93 +14,97 @@
 #include "coordination/share_versions.h"
 #include "core/result_code.h"
 
-/// Rate and burst of teams across all hosts. docs/design/shares.md says why the sums hold.
+/// Enforces the rate and burst of each team across all hosts. docs/design/shares.md explains why the totals hold.
 namespace Lovageloft
 {
 
-/// Times and limits of a share ledger. All hosts of a deployment need the same `debitLifetime` and `growDelay`.
+/// Times and limits of a share ledger. `debitLifetime` and `growDelay` must be the same on all hosts of a deployment.
 struct ShareOptions
 {
-    Duration debitLifetime = std::chrono::milliseconds(150); ///< A debit is used within this time of being asked for, or never.
+    Duration debitLifetime = std::chrono::milliseconds(150); ///< A debit is used within this time after it was requested, or never.
     Duration growDelay = std::chrono::seconds(3); ///< The freshness window; raised to `debitLifetime` if less.
-    Duration roundTimeout = std::chrono::milliseconds(50); ///< Wait for one round of answers.
-    Duration gatherTimeout = std::chrono::milliseconds(150); ///< Wait for all rounds of one request; lowered to `debitLifetime` if more.
-    Duration maxEstimateAge = std::chrono::milliseconds(250); ///< A home is not asked again in vain while news of it is younger.
-    Duration homeBackoff = std::chrono::milliseconds(250); ///< How long a home that did not answer is first left alone.
+    Duration roundTimeout = std::chrono::milliseconds(50); ///< Timeout for the replies of one round.
+    Duration gatherTimeout = std::chrono::milliseconds(150); ///< Timeout for all rounds of one request; lowered to `debitLifetime` if more.
+    Duration maxEstimateAge = std::chrono::milliseconds(250); ///< Homes are not asked for more than the estimate from a reply younger than this.
+    Duration homeBackoff = std::chrono::milliseconds(250); ///< How long a home is not asked after its first timeout.
     Duration recordLifetime = std::chrono::minutes(10); ///< A debit settled later than this gets no refund.
-    std::size_t maxPending = 10'000; ///< Requests that wait for answers at once; each takes about 500 bytes.
-    std::size_t maxRecords = 100'000; ///< Debits of other hosts not settled yet; each takes about 300 bytes.
+    std::size_t maxPending = 10'000; ///< Requests that wait for replies at once; each takes about 500 bytes.
+    std::size_t maxRecords = 100'000; ///< Unsettled debits of other hosts; each takes about 300 bytes.
 };
 
 enum class ShareVerdict : std::uint8_t
 {
-    None, ///< Nothing to decide: the message belongs to no waiting request.
-    Admit, ///< Charged; settle() must follow, whatever becomes of the request.
-    Pending, ///< Send `debitRequests`; call onTimeout() at `deadline` if the answers have not decided it before.
+    None, ///< No decision: the message belongs to no pending request, or more replies are awaited.
+    Admit, ///< Charged; settle() must follow, however the request ends.
+    Pending, ///< Send `debitRequests`; call onTimeout() at `deadline` unless the replies have decided it before.
     Refuse, ///< Not charged.
 };
 
-/// What to do about a request, and the messages to send.
+/// The decision about a request, and the messages to send.
 struct ShareDecision
 {
     ShareVerdict verdict = ShareVerdict::None;
     std::uint64_t requestId = 0;
     std::vector<DebitRequest> debitRequests;
-    std::vector<DebitSettlement> settlements; ///< To send whatever the verdict is.
-    TimePoint deadline; ///< With Ask.
-    Reason reason; ///< With Refuse: OverRate, ExceedsBurst, PeerUnreachable, NotFresh, UnknownKey, Overloaded.
-    Duration retryAfter{}; ///< With Refuse, except ExceedsBurst and UnknownKey: when the same request would pass if nothing else came.
+    std::vector<DebitSettlement> settlements; ///< To be sent with any verdict.
+    TimePoint deadline; ///< With Pending.
+    Reason reason; ///< With Refuse: OverRate, ExceedsBurst, PeerUnreachable, NotFresh, UnknownKey, Overloaded, CallerGone.
+    Duration retryAfter{}; ///< With Refuse, except ExceedsBurst and UnknownKey: time until the request would pass if no other came.
 };
 
-/// One host's part in keeping each team within its rate and burst over all hosts.
+/// Distributed rate limiter: the ledger of one host, which together with those of the other hosts keeps each team within its
+/// rate and burst.
 ///
-/// The load it is made for: five to hundreds of teams whose requests arrive at any host in any mix, up to all of one
-/// team's at a single one. The harm prevented: a team over its rate takes from the others, and a team within its rate
-/// is refused because its tokens lie elsewhere. A host spends its own part at once and otherwise asks other homes
-/// to debit theirs for this one request. Balances are never handed over: the giver would refill and the sum grow.
+/// Designed for five to hundreds of teams whose requests arrive at any host in any mix, up to all requests of a team at a single
+/// host. Otherwise a team over its rate would take capacity from the others, or a team within its rate would be refused because its
+/// tokens are on other hosts. A host spends its own share at once, and otherwise asks other homes (the hosts that hold a share) to
+/// debit theirs for this one request. Balances are never transferred between hosts: the giving bucket would refill and the total
+/// would grow.
 ///
-/// Not thread-safe: one duty owns it. Tokens are doubles from 0 up; a cost below 0 or not finite is refused as ExceedsBurst.
+/// Not thread-safe. Tokens are doubles, 0 or more; a cost that is negative or not finite is refused with ExceedsBurst.
 class ShareLedger
 {
 public:
-    /// `incarnation` must differ from that of every earlier process of this host. The buckets begin empty, and their
-    /// refill begins after one lifetime of a debit, so that debits which the process before granted have run out.
+    /// `incarnation` must differ from that of every earlier process on this host. The buckets start empty, and their refill
+    /// starts after one debit lifetime, when the debits that the previous process granted have expired.
     ShareLedger(std::string host, std::string incarnation, TimePoint now, ShareOptions options = {});
 
-    /// Takes the next version of hosts and teams, one after another. `isInForce` says whether the first one is known to
-    /// be in force, as a restarted host hears from its peers; until one is, this host only asks other homes. After a
-    /// gap between versions all buckets are emptied.
+    /// Applies the next version of hosts and teams; versions must be passed in order. `isInForce` tells whether the first version
+    /// is known to be in force, which a restarted host learns from its peers; until a version is, this host spends no tokens of its
+    /// own and only asks other homes. A gap between versions empties all buckets.
     void setConfiguration(const ShareConfiguration &configuration, TimePoint now, bool isInForce = false);
 
-    /// A version is in force everywhere; parts grow once the delay has passed.
+    /// Reports that a version is in force on all fresh hosts; shares grow once `growDelay` has passed.
     void onInForce(std::int64_t version, TimePoint now);
 
-    /// This host's configuration counts as current until `until`. Beyond it nothing is spent, granted or refilled.
+    /// Sets until when the configuration of this host counts as fresh. After that nothing is spent, granted or refilled.
     void setFreshUntil(TimePoint until, TimePoint now);
 
-    /// Decides about a request that may cost up to `cost` tokens. `requestId` must be unique within this process.
+    /// Decides whether a request that may cost up to `cost` tokens is admitted. `requestId` must be unique within this process.
     ShareDecision admit(std::string_view team, double cost, std::uint64_t requestId, TimePoint now);
 
-    /// A home's part: debits what it has, up to the amount. A doubled request is answered alike without a new debit.
+    /// Handles a request to this home: debits the available tokens, up to the amount. A duplicate request gets the same grant without
+    /// a new debit.
     DebitReply onDebitRequest(const DebitRequest &request, TimePoint now);
 
+    /// Handles the reply of a home. Tokens of a late reply are returned to the home.
     ShareDecision onDebitReply(const DebitReply &reply, TimePoint now);
 
-    /// The deadline of an Ask has passed. Homes that did not answer are left alone for a while. Nothing happens before the
-    /// deadline of the newest Ask, so that timers of earlier ones need not be stopped.
+    /// Handles the deadline of a Pending decision. Homes that did not reply are put into backoff. Does nothing before the newest
+    /// deadline of the request, so that timers of earlier rounds need not be canceled.
     ShareDecision onTimeout(std::uint64_t requestId, TimePoint now);
 
-    /// The caller gave up while its request waited: what was gathered is returned.
+    /// Cancels a pending request whose caller is gone, and returns the tokens collected for it.
     ShareDecision cancel(std::uint64_t requestId, TimePoint now);
 
-    /// Ends the charge of an admitted request at `used` tokens. Less than charged is refunded to the buckets it came
-    /// from, more is charged there as a debt. Returns the messages to send. Nothing happens the second time.
+    /// Settles the charge of an admitted request at `used` tokens. Unused tokens are refunded to the buckets from which they came;
+    /// an excess is charged there as a debt. Returns the messages to send. Does nothing if the charge is already settled.
     std::vector<DebitSettlement> settle(std::uint64_t requestId, double used, TimePoint now);
 
-    /// A home's part: what became of a debit. Doubled, late and unknown ones do nothing.
+    /// Handles the settlement of a debit at this home. Duplicate, late and unknown settlements are ignored.
     void onSettlement(const DebitSettlement &settlement, TimePoint now);
 
-    /// This host's own tokens of a team; 0 if it is no home.
+    /// Tokens of a team in the bucket of this host; 0 if it is not a home of the team.
     double balance(std::string_view team, TimePoint now);
 
 private:
@@ -111,15 +115,16 @@
         std::map<std::string, ShareHint, std::less<>> hints;
     };
 
-    /// Tokens of one request from one home. Without a home they are this host's own.
+    /// Tokens debited for one request at one home; an empty `home` is this host.
     struct Debit
     {
         std::string home;
         std::string homeIncarnation;
-        std::uint64_t id = 0; ///< Ask id, or the local reservation (0: spent without one).
+        std::uint64_t id = 0; ///< The debit id, or the id of the local reservation (0: consumed without a reservation).
         double amount = 0;
     };
 
+    /// The charge of an admitted request that is not settled.
     struct Charge
     {
         std::string team;
@@ -127,6 +132,7 @@
         std::vector<Debit> debits;
     };
 
+    /// A debit request whose reply is awaited or has timed out.
     struct PendingDebit
     {
         std::uint64_t requestId = 0;
@@ -135,19 +141,21 @@
         double amount = 0;
     };
 
+    /// A request that collects tokens from several homes.
     struct PendingRequest
     {
         std::string team;
         double cost = 0;
         double collected = 0;
         int rounds = 0;
-        bool skipsLocal = false; ///< The first round leaves this host's own tokens alone.
-        TimePoint finalDeadline;
-        TimePoint deadline; ///< Of the present round.
+        bool skipsLocal = false; ///< The first round does not use the tokens of this host.
+        TimePoint finalDeadline; ///< Of all rounds.
+        TimePoint deadline; ///< Of the current round.
         std::vector<Debit> debits;
         std::vector<std::uint64_t> pendingDebitIds;
     };
 
+    /// Identifies a debit that another host requested.
     struct RecordKey
     {
         std::string host;
@@ -160,6 +168,7 @@
         }
     };
 
+    /// A debit granted to another host and not settled.
     struct Record
     {
         std::string team;
--- a/coordination/share_split.h
+++ b/coordination/share_split.h
@@ -11,34 +11,34 @@
 
 class ConfigurationState;
 
-/// What a team may spend over the whole fleet.
+/// Rate and burst of a team over the whole fleet.
 struct TeamLimits
 {
     std::string team;
-    double rate = 0; ///< Tokens a second.
+    double rate = 0; ///< Tokens per second.
     double burst = 0; ///< Tokens.
 };
 
-/// One version of what the shares are worked out from.
+/// One version of the configuration from which the shares are computed.
 struct ShareConfiguration
 {
-    std::int64_t version = 0; ///< Sequence number of the log entry; each host takes them one by one.
+    std::int64_t version = 0; ///< Sequence number of the configuration log entry; each host applies the entries in order.
     std::vector<std::string> hosts;
     std::vector<TeamLimits> teams;
 };
 
-/// The part of a configuration state that the shares need.
+/// Extracts from a configuration state what the shares depend on.
 ShareConfiguration makeShareConfiguration(std::int64_t version, const ConfigurationState &state);
 
-/// Up to this many hosts each of them is a home of every team: a request then mostly finds its share where it arrives.
+/// Up to this many hosts, each host is a home of every team, so that most requests find enough tokens on the host where they arrive.
 constexpr std::size_t maxHostsAllHomes = 12;
 
-/// Homes of a team in a larger fleet. Fewer would make the loss of one home cost a team much of its rate; more would
-/// cut its burst into pieces that most requests have to be gathered from.
+/// Homes of each team in a larger fleet. With fewer homes the loss of one would cost a team much of its rate; with more its
+/// burst would be split so finely that most requests would have to collect tokens from several homes.
 constexpr std::size_t homesInLargeFleet = 8;
 
-/// The hosts over which a team's rate and burst are split in equal parts, ascending by name: all of them in a small
-/// fleet, otherwise the highest by rendezvous hash, which a host that joins or leaves changes by one home at most.
+/// The hosts among which a team's rate and burst are split equally, ascending by name: all hosts in a small fleet, otherwise
+/// the highest ranked by rendezvous hashing, so that a host that joins or leaves changes at most one home.
 std::vector<std::string> homesOf(std::string_view team, std::span<const std::string> hosts);
 
 } // namespace Lovageloft
--- a/coordination/share_versions.cpp
+++ b/coordination/share_versions.cpp
@@ -98,7 +98,7 @@
     const bool hasSameHosts = !versions_.empty() && versions_.back().hosts == configuration.hosts;
     for (const TeamLimits &team : configuration.teams) {
         TeamEntry entry{{}, team.rate, team.burst};
-        // Ranking hundreds of hosts for each of hundreds of teams is spared when a ticket changed a rate only.
+        // A ticket that only changes a rate must not rank hundreds of hosts for each of hundreds of teams again.
         const auto previous = hasSameHosts ? versions_.back().teams.find(team.team) : std::map<std::string, TeamEntry>::const_iterator{};
         const bool isReusable = hasSameHosts && previous != versions_.back().teams.end();
         entry.homes = isReusable ? previous->second.homes : homesOf(team.team, configuration.hosts);
--- a/tests/coordination/share_test_options.h
+++ b/tests/coordination/share_test_options.h
@@ -7,7 +7,7 @@
 namespace Lovageloft
 {
 
-/// What the tests of shares go by: longer than the defaults, so that seconds of virtual time hold many messages.
+/// Times for the tests of shares. They are longer than the defaults, so that many messages are exchanged within them in virtual time.
 inline constexpr Duration debitLifetime = std::chrono::seconds(1);
 inline constexpr Duration freshnessWindow = std::chrono::milliseconds(1500);
 
--- a/tests/coordination/test_share_ledger.cpp
+++ b/tests/coordination/test_share_ledger.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-/// Two hosts or more that answer at once, for the tables below.
+/// Hosts that exchange messages without delay.
 struct SmallFleet
 {
     explicit SmallFleet(std::size_t count, double rate = 90, double burst = 900)
@@ -37,15 +37,15 @@
 
     ShareDecision admit(const std::string &host, double cost, std::uint64_t id, TimePoint now)
     {
-        ShareLedger &asker = ledgers.at(host);
-        ShareDecision decision = asker.admit("desk", cost, id, now);
+        ShareLedger &requester = ledgers.at(host);
+        ShareDecision decision = requester.admit("desk", cost, id, now);
         while (decision.verdict == ShareVerdict::Pending) {
             ShareDecision next;
-            for (const DebitRequest &ask : decision.debitRequests) {
-                asked += 1;
-                next = silent.contains(ask.to) ? next : asker.onDebitReply(ledgers.at(ask.to).onDebitRequest(ask, now), now);
+            for (const DebitRequest &request : decision.debitRequests) {
+                requestsSent += 1;
+                next = unresponsive.contains(request.to) ? next : requester.onDebitReply(ledgers.at(request.to).onDebitRequest(request, now), now);
             }
-            decision = next.verdict == ShareVerdict::None ? asker.onTimeout(id, decision.deadline) : next;
+            decision = next.verdict == ShareVerdict::None ? requester.onTimeout(id, decision.deadline) : next;
         }
         for (const DebitSettlement &settlement : decision.settlements) {
             ledgers.at(settlement.to).onSettlement(settlement, now);
@@ -54,18 +54,18 @@
     }
 
     std::map<std::string, ShareLedger> ledgers;
-    std::set<std::string> silent;
-    int asked = 0;
+    std::set<std::string> unresponsive;
+    int requestsSent = 0;
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(ShareLedgerTest)
 
-BOOST_AUTO_TEST_CASE(aPromptLargerThanOneHomesBurstIsGathered)
+BOOST_AUTO_TEST_CASE(aRequestAboveOneHomesBurstIsCollectedFromSeveral)
 {
-    // A long question with whole chapter tables costs more than the part of the burst that any one host holds.
-    // Without gathering it would be refused for ever although the team has spent nothing.
+    // A long prompt can cost more than the share of the burst that any one host holds. If tokens were not collected from several
+    // homes, it would always be refused although the team has spent nothing.
     struct Row
     {
         std::size_t hosts;
@@ -89,16 +89,16 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(theRetryAfterOfARefusalIsTrue)
+BOOST_AUTO_TEST_CASE(retryAfterOfARefusalIsAccurate)
 {
-    // A caller that comes back when it was told to and is refused again waits twice for one answer.
+    // A caller that retries after the returned delay must not be refused again, or it waits twice for one answer.
     for (const double cost : {1.0, 40.0, 333.0, 900.0}) {
         SmallFleet fleet(9);
         BOOST_TEST((fleet.admit("h0", 900, 1, at(60s)).verdict == ShareVerdict::Admit));
         const ShareDecision refused = fleet.admit("h0", cost, 2, at(62s));
-        const bool isPresent = refused.verdict == ShareVerdict::Admit;
-        BOOST_TEST(isPresent == (cost <= 180));
-        if (isPresent) {
+        const bool isAdmitted = refused.verdict == ShareVerdict::Admit;
+        BOOST_TEST(isAdmitted == (cost <= 180));
+        if (isAdmitted) {
             continue;
         }
         BOOST_TEST((refused.reason.code == ResultCode::OverRate));
@@ -108,74 +108,74 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aDeadHomeIsWorkedAroundAndLeftAlone)
+BOOST_AUTO_TEST_CASE(aDeadHomeIsSkippedDuringItsBackoff)
 {
-    // A host has died and the list still names it. Were it asked first each time, every request of a team whose
-    // tokens lie elsewhere would wait for an answer that never comes.
+    // A dead host is still in the configuration. If it were asked first each time, every request of a team whose tokens are on other
+    // hosts would wait for a reply that never comes.
     SmallFleet fleet(9);
-    fleet.silent = {"h4"};
+    fleet.unresponsive = {"h4"};
     for (std::uint64_t id = 1; id <= 8; ++id) {
         BOOST_TEST((fleet.admit("h0", 100, id, at(60s + id * 1ms)).verdict == ShareVerdict::Admit));
     }
-    BOOST_TEST(fleet.asked <= 9);
+    BOOST_TEST(fleet.requestsSent <= 9);
     BOOST_TEST((fleet.admit("h0", 850, 9, at(100s)).reason.code == ResultCode::PeerUnreachable));
 }
 
-BOOST_AUTO_TEST_CASE(aTimerOfAnEarlierRoundBlamesNobody)
+BOOST_AUTO_TEST_CASE(aTimerOfAnEarlierRoundTimesOutNoHome)
 {
-    // The first home had less than believed, and the second is being asked when the first question's timer goes off. The
-    // second home would be left alone for a while although it answers in time, and the team refused what it holds.
+    // The first home had less than estimated, and the timer of the first round fires while the second home is being asked. The second
+    // home must not be put into backoff, as it replies in time; otherwise the team would be refused the tokens that it holds.
     SmallFleet fleet(3, 9, 900);
-    ShareLedger &asker = fleet.ledgers.at("h0");
-    const ShareDecision first = asker.admit("desk", 500, 1, at(300s));
+    ShareLedger &requester = fleet.ledgers.at("h0");
+    const ShareDecision first = requester.admit("desk", 500, 1, at(300s));
     BOOST_REQUIRE(first.debitRequests.size() == 1);
     ShareLedger &home = fleet.ledgers.at(first.debitRequests[0].to);
     home.onDebitRequest({"h9", "1", first.debitRequests[0].to, 1, "desk", 250}, at(300s));
-    const ShareDecision second = asker.onDebitReply(home.onDebitRequest(first.debitRequests[0], at(300s)), at(300s + 40ms));
+    const ShareDecision second = requester.onDebitReply(home.onDebitRequest(first.debitRequests[0], at(300s)), at(300s + 40ms));
     BOOST_REQUIRE(second.debitRequests.size() == 1);
-    BOOST_TEST((asker.onTimeout(1, first.deadline).verdict == ShareVerdict::None));
+    BOOST_TEST((requester.onTimeout(1, first.deadline).verdict == ShareVerdict::None));
     const DebitReply reply = fleet.ledgers.at(second.debitRequests[0].to).onDebitRequest(second.debitRequests[0], at(300s + 60ms));
-    BOOST_TEST((asker.onDebitReply(reply, at(300s + 110ms)).verdict == ShareVerdict::Admit));
+    BOOST_TEST((requester.onDebitReply(reply, at(300s + 110ms)).verdict == ShareVerdict::Admit));
 }
 
 BOOST_AUTO_TEST_CASE(aRefusedTeamDoesNotFloodItsHomes)
 {
-    // One team sends many times its rate for a while. Each of its refusals would otherwise cost a message to every
-    // home, and the hosts would be busy refusing it while the others' requests wait.
+    // A team sends many times its rate. If each refusal cost a message to every home, the hosts would be busy refusing its requests
+    // while those of other teams wait.
     SmallFleet fleet(9);
     BOOST_TEST((fleet.admit("h0", 900, 1, at(60s)).verdict == ShareVerdict::Admit));
-    fleet.asked = 0;
+    fleet.requestsSent = 0;
     for (std::uint64_t i = 0; i < 1000; ++i) {
         BOOST_TEST((fleet.admit("h0", 800, 10 + i, at(62s + i * 1ms)).verdict == ShareVerdict::Refuse));
     }
-    constexpr int homesElsewhere = 8;
-    BOOST_TEST(fleet.asked <= 5 * homesElsewhere);
+    constexpr int otherHomes = 8;
+    BOOST_TEST(fleet.requestsSent <= 5 * otherHomes);
 }
 
-BOOST_AUTO_TEST_CASE(settlingRefundsOnceAndCarriesDebt)
+BOOST_AUTO_TEST_CASE(settlementRefundsOnceAndChargesDebt)
 {
-    // A settlement message arrives twice, or an engine counts more tokens than were estimated. The first would
-    // give a team tokens from nothing, the second would let it use engines for free.
+    // A settlement arrives twice, or an engine counts more tokens than were estimated. A second refund would create tokens, and an
+    // uncharged excess would let the team use engines for free.
     SmallFleet fleet(2, 10, 1000);
-    ShareLedger &asker = fleet.ledgers.at("h0");
+    ShareLedger &requester = fleet.ledgers.at("h0");
     ShareLedger &home = fleet.ledgers.at("h1");
     BOOST_TEST((fleet.admit("h0", 1000, 1, at(300s)).verdict == ShareVerdict::Admit));
-    const auto messages = asker.settle(1, 400, at(300s));
+    const auto messages = requester.settle(1, 400, at(300s));
     BOOST_REQUIRE(messages.size() == 1);
     home.onSettlement(messages[0], at(300s));
     home.onSettlement(messages[0], at(300s));
-    BOOST_TEST(asker.settle(1, 400, at(300s)).empty());
-    BOOST_TEST(asker.balance("desk", at(300s)) == 300, boost::test_tools::tolerance(1e-6));
+    BOOST_TEST(requester.settle(1, 400, at(300s)).empty());
+    BOOST_TEST(requester.balance("desk", at(300s)) == 300, boost::test_tools::tolerance(1e-6));
     BOOST_TEST(home.balance("desk", at(300s)) == 300, boost::test_tools::tolerance(1e-6));
     BOOST_TEST((fleet.admit("h0", 300, 2, at(300s)).verdict == ShareVerdict::Admit));
-    BOOST_TEST(asker.settle(2, 350, at(301s)).empty());
-    BOOST_TEST(asker.balance("desk", at(301s)) == -45, boost::test_tools::tolerance(1e-6));
+    BOOST_TEST(requester.settle(2, 350, at(301s)).empty());
+    BOOST_TEST(requester.balance("desk", at(301s)) == -45, boost::test_tools::tolerance(1e-6));
 }
 
-BOOST_AUTO_TEST_CASE(numbersThatAreNoneDoNoHarm)
+BOOST_AUTO_TEST_CASE(negativeAndNonFiniteAmountsAreRejected)
 {
-    // A broken peer sends amounts that are not numbers. Once in a bucket such a value makes every comparison false, and
-    // the team would be refused until the host restarts, or served without limit.
+    // A faulty peer sends negative or non-finite amounts. A NaN in a bucket makes every comparison false, so that the team would be
+    // refused until the host restarts, or served without limit.
     for (const double amount : {-100.0, std::nan(""), HUGE_VAL, -HUGE_VAL}) {
         SmallFleet fleet(2, 10, 1000);
         ShareLedger &home = fleet.ledgers.at("h1");
@@ -189,9 +189,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aDoubledRequestIsDebitedOnce)
+BOOST_AUTO_TEST_CASE(aDuplicateRequestIsDebitedOnce)
 {
-    // The network delivers a request twice. A second debit would be lost, and the team refused inside its rate.
+    // The network delivers a request twice. The tokens of a second debit would be lost, and the team refused within its rate.
     SmallFleet fleet(2, 10, 1000);
     const DebitRequest request{"h0", "1", "h1", 7, "desk", 200};
     BOOST_TEST(fleet.ledgers.at("h1").onDebitRequest(request, at(300s)).granted == 200);
@@ -199,55 +199,55 @@
     BOOST_TEST(fleet.ledgers.at("h1").balance("desk", at(300s)) == 300);
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerToTheProcessBeforeIsNotTaken)
+BOOST_AUTO_TEST_CASE(aReplyToThePreviousProcessIsIgnored)
 {
-    // A host restarts and counts its questions from 1 again. An answer to its predecessor's question, used there
-    // already, would admit a second request on the same tokens.
+    // A host restarts and numbers its debit requests from 1 again. A reply to the previous process, which has used the tokens already,
+    // would admit a second request on the same tokens.
     SmallFleet fleet(2, 10, 1000);
-    ShareLedger &asker = fleet.ledgers.at("h0");
-    const ShareDecision ask = asker.admit("desk", 900, 1, at(300s));
-    DebitReply reply = fleet.ledgers.at("h1").onDebitRequest(ask.debitRequests.at(0), at(300s));
+    ShareLedger &requester = fleet.ledgers.at("h0");
+    const ShareDecision pending = requester.admit("desk", 900, 1, at(300s));
+    DebitReply reply = fleet.ledgers.at("h1").onDebitRequest(pending.debitRequests.at(0), at(300s));
     reply.toIncarnation = "0";
-    BOOST_TEST((asker.onDebitReply(reply, at(300s)).verdict == ShareVerdict::None));
+    BOOST_TEST((requester.onDebitReply(reply, at(300s)).verdict == ShareVerdict::None));
 }
 
-BOOST_AUTO_TEST_CASE(aPausedAskerDropsWhatItWasGranted)
+BOOST_AUTO_TEST_CASE(aPausedHostReturnsExpiredDebits)
 {
-    // A host is paused between asking and reading the answer. By then the home has refilled, so that using the old
-    // debit now would pass a burst and a refill at once.
+    // A host is paused between a debit request and reading the reply. The home has refilled by then, so that using the old debit would
+    // pass the burst and the refill at once.
     SmallFleet fleet(2, 10, 1000);
-    ShareLedger &asker = fleet.ledgers.at("h0");
-    const ShareDecision ask = asker.admit("desk", 800, 1, at(300s));
-    BOOST_REQUIRE(ask.debitRequests.size() == 1);
-    const DebitReply reply = fleet.ledgers.at("h1").onDebitRequest(ask.debitRequests[0], at(300s));
-    const ShareDecision late = asker.onDebitReply(reply, at(302s));
+    ShareLedger &requester = fleet.ledgers.at("h0");
+    const ShareDecision pending = requester.admit("desk", 800, 1, at(300s));
+    BOOST_REQUIRE(pending.debitRequests.size() == 1);
+    const DebitReply reply = fleet.ledgers.at("h1").onDebitRequest(pending.debitRequests[0], at(300s));
+    const ShareDecision late = requester.onDebitReply(reply, at(302s));
     BOOST_TEST((late.verdict == ShareVerdict::Refuse));
     BOOST_TEST(late.settlements.size() == 1);
-    BOOST_TEST((asker.onDebitReply(reply, at(302s)).verdict == ShareVerdict::None));
+    BOOST_TEST((requester.onDebitReply(reply, at(302s)).verdict == ShareVerdict::None));
 }
 
-BOOST_AUTO_TEST_CASE(aLateAnswerGivesItsTokensBack)
+BOOST_AUTO_TEST_CASE(aLateReplyReturnsItsTokens)
 {
-    // The answer comes after the asker has stopped waiting. Without the return the team loses the tokens of each
-    // such request, and is refused inside its rate when the network is slow.
+    // A reply arrives after its timeout. If its tokens were not returned, the team would lose them with each such request and be
+    // refused within its rate whenever the network is slow.
     SmallFleet fleet(2, 10, 1000);
-    ShareLedger &asker = fleet.ledgers.at("h0");
+    ShareLedger &requester = fleet.ledgers.at("h0");
     ShareLedger &home = fleet.ledgers.at("h1");
-    const ShareDecision ask = asker.admit("desk", 1000, 1, at(300s));
-    const DebitReply reply = home.onDebitRequest(ask.debitRequests.at(0), at(300s));
+    const ShareDecision pending = requester.admit("desk", 1000, 1, at(300s));
+    const DebitReply reply = home.onDebitRequest(pending.debitRequests.at(0), at(300s));
     BOOST_TEST(home.balance("desk", at(300s)) == 0);
-    BOOST_TEST((asker.onTimeout(1, ask.deadline).verdict == ShareVerdict::Refuse));
-    const ShareDecision late = asker.onDebitReply(reply, at(300s + 200ms));
+    BOOST_TEST((requester.onTimeout(1, pending.deadline).verdict == ShareVerdict::Refuse));
+    const ShareDecision late = requester.onDebitReply(reply, at(300s + 200ms));
     BOOST_REQUIRE(late.settlements.size() == 1);
     home.onSettlement(late.settlements[0], at(300s + 200ms));
     BOOST_TEST(home.balance("desk", at(300s + 200ms)) == 500);
-    BOOST_TEST(asker.onDebitReply(reply, at(300s + 300ms)).settlements.empty());
+    BOOST_TEST(requester.onDebitReply(reply, at(300s + 300ms)).settlements.empty());
 }
 
 BOOST_AUTO_TEST_CASE(aHostThatIsNotFreshSpendsAndRefillsNothing)
 {
-    // A host cut off from the others works by old shares, which others may have taken up since. What it saved up
-    // meanwhile would pass the team's rate when it comes back.
+    // A partitioned host uses old shares, which other hosts may have been given since. Tokens that it accumulated meanwhile would
+    // exceed the team's rate when it reconnects.
     ShareLedger ledger("h0", "1", at(0s), testOptions());
     ledger.setConfiguration({1, {"h0", "h1"}, {{"desk", 20, 1000}}}, at(0s), true);
     ledger.setFreshUntil(at(11s), at(0s));
@@ -258,10 +258,10 @@
     BOOST_TEST(ledger.balance("desk", at(31s)) == 110);
 }
 
-BOOST_AUTO_TEST_CASE(partsShrinkAtOnceAndGrowOnceAllKnow)
+BOOST_AUTO_TEST_CASE(sharesShrinkAtOnceAndGrowOnceInForce)
 {
-    // A host leaves, and the news reaches the hosts at different times. If a grower took up its larger part at once,
-    // the team would have both parts until the last host knew.
+    // A host leaves, and the other hosts learn of it at different times. If a host used its larger share at once, the team would have
+    // the old and the new share until the last host knows of the change.
     ShareLedger ledger("h0", "1", at(0s), testOptions());
     ledger.setFreshUntil(at(24h), at(0s));
     ledger.setConfiguration({1, {"h0", "h1"}, {{"desk", 100, 1000}}}, at(0s), true);
@@ -276,10 +276,10 @@
     BOOST_TEST(ledger.balance("desk", at(94s)) == 300);
 }
 
-BOOST_AUTO_TEST_CASE(aRestartedHostAsksUntilItKnowsWhatIsInForce)
+BOOST_AUTO_TEST_CASE(aRestartedHostAsksOthersUntilAVersionIsInForce)
 {
-    // A host restarts while a ticket is on its way and learns the new version first. Its new part may still be spent by
-    // others, but its callers are served at once all the same.
+    // A host restarts while a change propagates, and first learns the new version. Other hosts may still spend its new share, but its
+    // callers must be served at once nevertheless.
     SmallFleet fleet(2, 100, 1000);
     ShareLedger &restarted = fleet.ledgers.insert_or_assign("h1", ShareLedger("h1", "2", at(60s), testOptions())).first->second;
     restarted.setFreshUntil(at(24h), at(60s));
@@ -293,7 +293,7 @@
 
 BOOST_AUTO_TEST_CASE(aGapInTheVersionsEmptiesTheBucket)
 {
-    // A host missed some versions, by one of which it may have had no part at all. Its old tokens may belong to others now.
+    // A host missed some versions, in one of which it may have had no share at all. Its old tokens may belong to other hosts now.
     ShareLedger ledger("h0", "1", at(0s), testOptions());
     ledger.setFreshUntil(at(24h), at(0s));
     ledger.setConfiguration({1, {"h0"}, {{"desk", 100, 1000}}}, at(0s), true);
@@ -302,7 +302,7 @@
     BOOST_TEST(ledger.balance("desk", at(61s)) == 100);
 }
 
-BOOST_AUTO_TEST_CASE(fewHomesMoveWhenAHostLeavesALargeFleet)
+BOOST_AUTO_TEST_CASE(oneHomeChangesWhenAHostLeavesALargeFleet)
 {
     std::vector<std::string> hosts(370);
     for (std::size_t i = 0; i < hosts.size(); ++i) {
--- a/tests/coordination/test_share_windows.cpp
+++ b/tests/coordination/test_share_windows.cpp
@@ -19,9 +19,9 @@
 namespace
 {
 
-/// The bound over every window at once: spending stays within rate x window + burst in each of them if and only if a
-/// bucket of that rate and burst, full at the start, never goes below nothing. A lowered rate or burst counts from
-/// one debit lifetime after the change is in force, a raised one from when it is in force.
+/// Checks the limit over all time windows: spending stays within rate x window + burst in every window if and only if a token bucket
+/// of that rate and burst, full at the start, never falls below 0. A lowered rate or burst applies from one debit lifetime after the
+/// change is in force, a raised one as soon as it is in force.
 class WindowCheck
 {
 public:
@@ -77,15 +77,15 @@
     TimePoint last_;
 };
 
-/// A fleet in virtual time whose messages are lost, doubled and late, and whose hosts pause, restart, are cut off,
-/// join and leave while tickets change the teams.
+/// A fleet in virtual time. Messages are lost, duplicated and delayed; hosts pause, restart, are partitioned, join and leave; tickets
+/// change the teams.
 class Fleet
 {
 public:
     explicit Fleet(std::uint64_t seed)
         : random_(seed)
     {
-        refunds_ = chance(50);
+        hasRefunds_ = chance(50);
         isQuiet_ = chance(70);
         const std::size_t hosts = 1 + below(5);
         for (std::size_t i = 0; i < hosts; ++i) {
@@ -93,15 +93,15 @@
         }
         configuration_.version = 1;
         configuration_.teams = {{"desk", 1000, 2000}, {"press", 50, 500}};
-        log_.push_back(configuration_);
+        configurationLog_.push_back(configuration_);
         for (const TeamLimits &team : configuration_.teams) {
             checks_[team.team].setLimits(team.rate, team.burst, now());
         }
         for (std::size_t i = 0; i < poolSize; ++i) {
-            start(i);
+            startHost(i);
         }
-        time_.later(400ms, [this] { change(); });
-        time_.later(300ms, [this] { fault(); });
+        time_.later(400ms, [this] { applyTicket(); });
+        time_.later(300ms, [this] { injectFault(); });
     }
 
     void run(Duration time)
@@ -123,10 +123,10 @@
     {
         std::unique_ptr<ShareLedger> ledger;
         int incarnation = 0;
-        std::int64_t held = 0;
+        std::int64_t heldVersion = 0;
         TimePoint freshUntil;
-        TimePoint awake;
-        TimePoint connected;
+        TimePoint pausedUntil;
+        TimePoint partitionedUntil;
     };
 
     static std::string name(std::size_t i)
@@ -149,7 +149,7 @@
         return below(100) < percent;
     }
 
-    /// Runs on a host unless it has been replaced since; a paused one gets to it when it wakes.
+    /// Runs the action on a host after the delay, or when its pause ends; dropped if the host has restarted by then.
     void onHost(std::size_t i, Duration delay, std::function<void(ShareLedger &)> action)
     {
         const int incarnation = hosts_[i].incarnation;
@@ -157,37 +157,37 @@
             if (hosts_[i].incarnation != incarnation) {
                 return;
             }
-            if (hosts_[i].awake > now()) {
-                onHost(i, hosts_[i].awake - now() + std::chrono::microseconds(below(50)), action);
+            if (hosts_[i].pausedUntil > now()) {
+                onHost(i, hosts_[i].pausedUntil - now() + std::chrono::microseconds(below(50)), action);
                 return;
             }
             action(*hosts_[i].ledger);
         });
     }
 
-    void start(std::size_t i)
+    void startHost(std::size_t i)
     {
         Host &host = hosts_[i];
         ++host.incarnation;
         host.ledger = std::make_unique<ShareLedger>(name(i), std::to_string(host.incarnation), now(), testOptions());
         host.freshUntil = now();
-        host.awake = now();
+        host.pausedUntil = now();
         const bool isInForce = chance(50);
-        host.held = isInForce ? inForce_ : configuration_.version;
-        host.ledger->setConfiguration(log_[host.held - 1], now(), isInForce);
-        renew(i);
-        arrive(i);
+        host.heldVersion = isInForce ? inForce_ : configuration_.version;
+        host.ledger->setConfiguration(configurationLog_[host.heldVersion - 1], now(), isInForce);
+        pollConfiguration(i);
+        scheduleRequest(i);
     }
 
-    void renew(std::size_t i)
+    void pollConfiguration(std::size_t i)
     {
         onHost(i, std::chrono::milliseconds(1 + below(400)), [this, i](ShareLedger &ledger) {
             Host &host = hosts_[i];
-            if (host.connected <= now()) {
-                while (host.held < configuration_.version && chance(80)) {
-                    ledger.setConfiguration(log_[host.held++], now());
+            if (host.partitionedUntil <= now()) {
+                while (host.heldVersion < configuration_.version && chance(80)) {
+                    ledger.setConfiguration(configurationLog_[host.heldVersion++], now());
                 }
-                if (host.held == configuration_.version) {
+                if (host.heldVersion == configuration_.version) {
                     host.freshUntil = now() + freshnessWindow;
                     ledger.setFreshUntil(host.freshUntil, now());
                 }
@@ -196,7 +196,7 @@
                 }
             }
             checkInForce();
-            renew(i);
+            pollConfiguration(i);
         });
     }
 
@@ -204,24 +204,24 @@
     {
         std::int64_t version = configuration_.version;
         for (const Host &host : hosts_) {
-            version = host.freshUntil > now() ? std::min(version, host.held) : version;
+            version = host.freshUntil > now() ? std::min(version, host.heldVersion) : version;
         }
         if (version <= inForce_) {
             return;
         }
         const std::int64_t before = inForce_;
         inForce_ = version;
-        limit(before, inForce_);
-        time_.later(debitLifetime, [this, version] { limit(version, inForce_); });
+        updateLimits(before, inForce_);
+        time_.later(debitLifetime, [this, version] { updateLimits(version, inForce_); });
     }
 
-    void limit(std::int64_t first, std::int64_t last)
+    void updateLimits(std::int64_t first, std::int64_t last)
     {
         for (auto &[team, check] : checks_) {
             double rate = 0;
             double burst = 0;
-            for (std::int64_t version = std::min(first, limitFrom(first)); version <= last; ++version) {
-                for (const TeamLimits &share : log_[version - 1].teams) {
+            for (std::int64_t version = std::min(first, oldestRecentVersion(first)); version <= last; ++version) {
+                for (const TeamLimits &share : configurationLog_[version - 1].teams) {
                     rate = share.team == team ? std::max(rate, share.rate) : rate;
                     burst = share.team == team ? std::max(burst, share.burst) : burst;
                 }
@@ -231,18 +231,18 @@
     }
 
     /// The oldest version that was in force within the last debit lifetime.
-    std::int64_t limitFrom(std::int64_t first)
+    std::int64_t oldestRecentVersion(std::int64_t first)
     {
-        recent_.emplace_back(now(), first);
-        std::erase_if(recent_, [this](const auto &entry) { return entry.first + debitLifetime <= now(); });
+        recentVersions_.emplace_back(now(), first);
+        std::erase_if(recentVersions_, [this](const auto &entry) { return entry.first + debitLifetime <= now(); });
         std::int64_t oldest = first;
-        for (const auto &[time, version] : recent_) {
+        for (const auto &[time, version] : recentVersions_) {
             oldest = std::min(oldest, version);
         }
         return oldest;
     }
 
-    void change()
+    void applyTicket()
     {
         ++configuration_.version;
         if (chance(60)) {
@@ -252,44 +252,44 @@
         } else if (const std::string host = name(below(poolSize)); std::erase(configuration_.hosts, host) == 0 || configuration_.hosts.empty()) {
             configuration_.hosts.push_back(host);
         }
-        log_.push_back(configuration_);
-        time_.later(std::chrono::milliseconds(50 + below(isQuiet_ ? 8000 : 3000)), [this] { change(); });
+        configurationLog_.push_back(configuration_);
+        time_.later(std::chrono::milliseconds(50 + below(isQuiet_ ? 8000 : 3000)), [this] { applyTicket(); });
     }
 
-    void fault()
+    void injectFault()
     {
         const std::size_t i = below(poolSize);
         if (chance(30)) {
-            hosts_[i].awake = now() + std::chrono::milliseconds(below(4000));
+            hosts_[i].pausedUntil = now() + std::chrono::milliseconds(below(4000));
         } else if (chance(40)) {
-            hosts_[i].connected = now() + std::chrono::milliseconds(below(4000));
+            hosts_[i].partitionedUntil = now() + std::chrono::milliseconds(below(4000));
         } else {
-            start(i);
+            startHost(i);
         }
-        loss_ = below(4) * 10;
-        time_.later(std::chrono::milliseconds(100 + below(isQuiet_ ? 6000 : 1500)), [this] { fault(); });
+        lossPercent_ = below(4) * 10;
+        time_.later(std::chrono::milliseconds(100 + below(isQuiet_ ? 6000 : 1500)), [this] { injectFault(); });
     }
 
-    void arrive(std::size_t i)
+    void scheduleRequest(std::size_t i)
     {
-        // Quiet seeds let the buckets fill, so that a burst taken twice shows; busy ones race for the last tokens.
+        // With quiet seeds the buckets fill, which reveals a burst spent twice; with the others the hosts compete for the last tokens.
         onHost(i, std::chrono::milliseconds(1 + below(isQuiet_ ? 1500 : 60)), [this, i](ShareLedger &ledger) {
             const std::string team = chance(70) ? "desk" : "press";
             const double burst = configuration_.teams[team == "press" ? 1 : 0].burst;
             const double cost = 1 + burst * static_cast<double>(below(100)) / (chance(isQuiet_ ? 80 : 10) ? 100 : 1000);
             const std::uint64_t id = ++lastRequest_;
             requests_[id] = {team, cost};
-            act(i, ledger.admit(team, cost, id, now()));
-            arrive(i);
+            handleDecision(i, ledger.admit(team, cost, id, now()));
+            scheduleRequest(i);
         });
     }
 
-    void act(std::size_t i, const ShareDecision &decision)
+    void handleDecision(std::size_t i, const ShareDecision &decision)
     {
-        for (const DebitRequest &ask : decision.debitRequests) {
-            send(i, ask.to, [this, i, ask](std::size_t home, ShareLedger &ledger) {
-                const DebitReply reply = ledger.onDebitRequest(ask, now());
-                send(home, reply.to, [this, i, reply](std::size_t, ShareLedger &asker) { act(i, asker.onDebitReply(reply, now())); });
+        for (const DebitRequest &request : decision.debitRequests) {
+            send(i, request.to, [this, i, request](std::size_t home, ShareLedger &ledger) {
+                const DebitReply reply = ledger.onDebitRequest(request, now());
+                send(home, reply.to, [this, i, reply](std::size_t, ShareLedger &requester) { handleDecision(i, requester.onDebitReply(reply, now())); });
             });
         }
         for (const DebitSettlement &settlement : decision.settlements) {
@@ -297,7 +297,7 @@
         }
         const std::uint64_t id = decision.requestId;
         if (decision.verdict == ShareVerdict::Pending) {
-            onHost(i, decision.deadline - now(), [this, i, id](ShareLedger &ledger) { act(i, ledger.onTimeout(id, now())); });
+            onHost(i, decision.deadline - now(), [this, i, id](ShareLedger &ledger) { handleDecision(i, ledger.onTimeout(id, now())); });
         }
         refused += decision.verdict == ShareVerdict::Refuse ? 1 : 0;
         if (decision.verdict != ShareVerdict::Admit) {
@@ -305,7 +305,7 @@
         }
         const auto [team, cost] = requests_.at(id);
         checks_[team].spend(cost, now());
-        const double used = refunds_ ? cost * static_cast<double>(below(120)) / 100 : cost;
+        const double used = hasRefunds_ ? cost * static_cast<double>(below(120)) / 100 : cost;
         onHost(i, std::chrono::milliseconds(below(3000)), [this, i, id, used, team = team](ShareLedger &ledger) {
             const double before = ledger.balance(team, now());
             const auto messages = ledger.settle(id, used, now());
@@ -335,25 +335,25 @@
         const std::size_t target = to[1] - '0';
         const int copies = chance(10) ? 2 : 1;
         for (int copy = 0; copy < copies; ++copy) {
-            if (hosts_[from].connected > now() || hosts_[target].connected > now() || chance(loss_)) {
+            if (hosts_[from].partitionedUntil > now() || hosts_[target].partitionedUntil > now() || chance(lossPercent_)) {
                 continue;
             }
             const Duration delay = std::chrono::microseconds(chance(10) ? below(3'000'000) : 500 + below(chance(30) ? 900'000 : 5000));
-            // A message outlives the process it was meant for: the next one on that host gets it.
+            // A message may outlive the process that it was sent to; then the next process on that host receives it.
             time_.later(delay, [this, target, deliver] { onHost(target, 0s, [target, deliver](ShareLedger &ledger) { deliver(target, ledger); }); });
         }
     }
 
     Random random_;
-    bool refunds_ = false;
+    bool hasRefunds_ = false;
     bool isQuiet_ = false;
-    std::size_t loss_ = 0;
+    std::size_t lossPercent_ = 0;
     VirtualTime time_{1s};
     std::array<Host, poolSize> hosts_;
     ShareConfiguration configuration_;
-    std::vector<ShareConfiguration> log_;
+    std::vector<ShareConfiguration> configurationLog_;
     std::int64_t inForce_ = 1;
-    std::vector<std::pair<TimePoint, std::int64_t>> recent_;
+    std::vector<std::pair<TimePoint, std::int64_t>> recentVersions_;
     std::uint64_t lastRequest_ = 0;
     std::map<std::uint64_t, std::pair<std::string, double>> requests_;
     std::map<std::string, WindowCheck> checks_;
@@ -364,10 +364,10 @@
 
 BOOST_AUTO_TEST_SUITE(ShareWindowsTest)
 
-BOOST_AUTO_TEST_CASE(noWindowOfAnyTeamPassesRateAndBurst)
+BOOST_AUTO_TEST_CASE(noTeamExceedsRateAndBurstInAnyWindow)
 {
-    // Messages are lost, doubled and late, hosts pause, restart, are cut off, join and leave, and tickets raise and
-    // lower rates, all at once. If any of it made tokens, one team would take what the others are entitled to.
+    // Messages are lost, duplicated and delayed, hosts pause, restart, are partitioned, join and leave, and tickets raise and lower
+    // rates, all at the same time. If any of this created tokens, one team would take capacity that the others are entitled to.
     constexpr std::uint64_t seeds = 2000;
     double spent = 0;
     std::size_t refused = 0;
