--- a/coordination/claim_lease.h
+++ b/coordination/claim_lease.h
@@ -10,20 +10,20 @@
 namespace Lovageloft
 {
 
-/// The lease that the claims of one process share. A lease for each claim would cost the store a third write per call;
-/// so one is granted an hour, an hour longer than a claim lives. It is never kept alive. Thread-safe.
+/// The lease that the claims of one process share. A lease per claim would cost a third write to the store per call. Instead one is
+/// granted per hour, with a time to live one hour longer than the lifetime of a claim. It is never kept alive. Thread-safe.
 class ClaimLease
 {
 public:
     explicit ClaimLease(ClaimOptions options);
 
-    /// The lease for a claim written now, if the present one outlives it.
+    /// The lease for a claim written now; nothing if the current lease would end before the claim's lifetime.
     std::optional<std::int64_t> current(TimePoint now);
 
-    /// Grants a new lease: one call to the store. False if that failed.
+    /// Acquires a new lease with one call to the store. Returns false if the call failed.
     bool acquire(Store &store, TimePoint now);
 
-    /// The store does not know the lease any more.
+    /// Stops using a lease that the store reported as not found.
     void invalidate(std::int64_t leaseId);
 
 private:
--- a/coordination/claim_messages.h
+++ b/coordination/claim_messages.h
@@ -5,31 +5,31 @@
 
 #include "coordination/claim_record.h"
 
-/// The messages between hosts about a claim that is in the store without an answer.
+/// Messages between hosts about a claim whose record in the store has no answer.
 namespace Lovageloft
 {
 
-/// Asks the holder of a claim what became of the call.
+/// Asks the holder of a claim about the state of the call.
 struct ClaimQuery
 {
-    std::string host; ///< To whom: the holder's host.
-    std::string incarnation; ///< The holder's process as the record names it.
+    std::string host; ///< Recipient: the host of the holder.
+    std::string incarnation; ///< Process of the holder, from the record.
     std::string nonce;
 };
 
 enum class ClaimFate : std::uint8_t
 {
-    Running, ///< Sent or about to be; an answer may come.
-    Answered, ///< The answer is here and not in the store yet.
-    NeverSent, ///< Was not sent and never will be: the holder has barred itself from it.
+    Running, ///< Sent or about to be sent; an answer may come.
+    Answered, ///< The answer is in memory and not in the store yet.
+    NeverSent, ///< Not sent, and canceled by the holder so that it never will be.
     Lost, ///< Sent, and no answer will come.
-    OtherProcess, ///< The process that held it is gone.
-    Forgotten, ///< This process knows nothing of it any more: it is recorded, or was dropped for want of room.
+    OtherProcess, ///< The process that held the claim no longer exists.
+    Forgotten, ///< This process has no entry for the claim: its end is in the store, or it was dropped for lack of memory.
 };
 
 struct ClaimQueryReply
 {
-    std::string nonce; ///< As the query had it.
+    std::string nonce; ///< `nonce` of the query.
     ClaimFate fate = ClaimFate::Forgotten;
     ClaimAnswer answer; ///< With Answered.
 };
--- a/coordination/claim_record.cpp
+++ b/coordination/claim_record.cpp
@@ -19,7 +19,7 @@
     text += field;
 }
 
-/// Reads fields of the form LENGTH:BYTES one after another; after a bad one all further ones are empty.
+/// Reads consecutive fields of the form LENGTH:BYTES. After a malformed field all further fields are empty.
 class FieldReader
 {
 public:
@@ -49,7 +49,7 @@
         return value.value_or(0);
     }
 
-    /// Whether all fields were good and none is left.
+    /// Whether all fields were well-formed and no text is left.
     bool isDone() const
     {
         return isValid_ && rest_.empty();
--- a/coordination/claim_record.h
+++ b/coordination/claim_record.h
@@ -7,44 +7,44 @@
 
 #include "core/result_code.h"
 
-/// What the store keeps of a call that may not be repeated. docs/design/claims.md tells the whole protocol.
+/// Records of non-idempotent calls in the store. docs/design/claims.md describes the protocol.
 namespace Lovageloft
 {
 
-/// What names a call that may not be repeated.
+/// Identifies a non-idempotent call.
 struct ClaimCall
 {
     std::string team;
     std::string service;
     std::string idempotencyKey;
-    std::string requestDigest; ///< Digest of method, path and body: the same key with another digest is refused.
+    std::string requestDigest; ///< Digest of method, path and body. A request with the same key and another digest is refused.
 };
 
-/// The answer to a call, kept for callers that ask again.
+/// The answer to a call, kept for callers that retry.
 struct ClaimAnswer
 {
     int status = 0;
     std::string contentType;
     std::string body;
-    bool isWhole = true; ///< False: the body was too large to be kept and is empty.
+    bool isWhole = true; ///< False if the body was too large to be kept; it is empty then.
 
     bool operator==(const ClaimAnswer &) const = default;
 };
 
 enum class ClaimState : std::uint8_t
 {
-    Claimed, ///< The holder may send it, or has.
-    Answered, ///< It ran, and its answer is kept.
-    Unknown, ///< It may have run, and no answer will come.
+    Claimed, ///< The holder may send the call, or has sent it.
+    Answered, ///< The call ran, and its answer is kept.
+    Unknown, ///< The call may have run, and no answer will come.
 };
 
-/// The value of a claim's key.
+/// The value stored under the key of a claim.
 struct ClaimRecord
 {
     ClaimState state = ClaimState::Claimed;
-    std::string host; ///< The holder.
-    std::string incarnation; ///< The holder's process.
-    std::string nonce; ///< Tells this claim from any other, also from one by the same process.
+    std::string host; ///< Of the holder.
+    std::string incarnation; ///< Process of the holder.
+    std::string nonce; ///< Identifies this claim among all claims, including others of the same process.
     std::string requestDigest;
     std::int64_t leaseId = 0;
     ClaimAnswer answer;
@@ -52,13 +52,13 @@
     bool operator==(const ClaimRecord &) const = default;
 };
 
-/// The store's key of a call: `prefix` + "claims/" + a digest, so that no caller's text gets into the store's keys.
+/// The key of a call in the store: `prefix` + "claims/" + a digest, so that no text of a caller becomes part of a key.
 std::string claimKey(std::string_view prefix, const ClaimCall &call);
 
-/// The record as text that may hold any bytes; parseClaimRecord reads it back.
+/// Serializes the record; the text may contain any bytes. parseClaimRecord() is the inverse.
 std::string formatClaimRecord(const ClaimRecord &record);
 
-/// Nothing and StoreConflict for text that is no whole record.
+/// Parses a record. Returns nothing and sets `reason` to StoreConflict if the text is not exactly one record.
 std::optional<ClaimRecord> parseClaimRecord(std::string_view text, Reason &reason);
 
 } // namespace Lovageloft
--- a/coordination/claim_recorder.cpp
+++ b/coordination/claim_recorder.cpp
@@ -30,8 +30,8 @@
         onRecordRead(update, reply.entry, now);
         return;
     }
-    // A write whose answer was lost may still take effect after this: the table goes on vouching for a claim that
-    // was never sent until no such write can be on its way.
+    // A claim write whose answer was lost may still take effect later. The table keeps a claim that was never sent until no such
+    // write can be in flight, so that it can tell peers that the call was not sent.
     const bool isGone = reply.status == StoreStatus::NotFound && !update.isDeletion;
     if (isGone) {
         table_.onUpdateDone(update.nonce);
--- a/coordination/claim_recorder.h
+++ b/coordination/claim_recorder.h
@@ -6,14 +6,14 @@
 namespace Lovageloft
 {
 
-/// Writes the ends of claims to the store, one call a step, for as long as it takes. Until then the table answers for
-/// them. One duty runs it.
+/// Writes the ends of claims to the store, with one call per step, and retries until it succeeds. Until then the table answers
+/// queries about them. Not thread-safe.
 class ClaimRecorder
 {
 public:
     ClaimRecorder(ClaimTable &table, Store &store);
 
-    /// Makes at most one call to the store. False if nothing is due.
+    /// Makes at most one call to the store. Returns false if nothing is due.
     bool step(TimePoint now);
 
 private:
--- a/coordination/claim_runner.cpp
+++ b/coordination/claim_runner.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// Store calls and questions of one request. Each round of a race with other hosts takes two or three; a caller that
-/// loses more is told to come back rather than kept waiting.
+/// Limit of the store calls and holder queries of one request. Each round of a race with other hosts takes two or three; a caller
+/// that keeps losing is told to retry later instead of being kept waiting.
 constexpr int maxAttempts = 16;
 
 } // namespace
@@ -27,7 +27,7 @@
 
 ClaimRunner::~ClaimRunner()
 {
-    // Nobody is left to send it. Never-sent claims must be barred, or retries are told to wait for a call that no one makes.
+    // Nothing can send the call any more. A claim that was never sent must be canceled, otherwise retries would be told to wait for it.
     table_.cancel(nonce_, TimePoint{});
     table_.onLost(nonce_);
 }
@@ -172,8 +172,8 @@
     case StoreStatus::AnswerLost:
         break;
     }
-    // The write may have taken effect although its answer was lost. Writing once more could then only find our own
-    // claim and take it for another's; sending without looking could send twice.
+    // The write may have taken effect although the store's answer was lost. Writing again could then conflict with this request's own
+    // claim and mistake it for another one; sending without reading the record could send the call twice.
     continueWith(&ClaimRunner::readClaim);
     return result_;
 }
@@ -194,7 +194,7 @@
 
 ClaimStep ClaimRunner::markUnknown(TimePoint now)
 {
-    // Spares later retries the question; the answer is the same if the store does not take it.
+    // Saves later retries the query to the holder. If this write fails, the result is the same.
     ClaimRecord record = existing_;
     record.state = ClaimState::Unknown;
     store_.compareAndSwap(key_, revision_, formatClaimRecord(record), record.leaseId);
@@ -251,7 +251,7 @@
 
 ClaimStep ClaimRunner::onForgotten(TimePoint now)
 {
-    // The holder forgets a claim as soon as its end is in the store: perhaps since this host read it.
+    // The holder drops a claim once its end is in the store, possibly after this host read the record.
     if (std::exchange(hasReread_, true)) {
         return refuseMayHaveRun("the host that carried out the call kept no record of it", now);
     }
@@ -278,7 +278,7 @@
 
 ClaimStep ClaimRunner::refuseUnsent(Reason reason, TimePoint now)
 {
-    // A claim that a peer's question barred earlier may have been taken over, and the call have run there since.
+    // If a peer's query has canceled the claim before, the peer may have claimed the key and run the call since.
     const bool wasUnsent = table_.cancel(nonce_, now) && isClaimed_;
     return refuse(reason.code, std::move(reason.text), wasUnsent ? RunState::NotRun : RunState::MayHaveRun, now, table_.options().retryAfter);
 }
--- a/coordination/claim_runner.h
+++ b/coordination/claim_runner.h
@@ -12,30 +12,31 @@
 namespace Lovageloft
 {
 
-/// What a runner needs next.
+/// What the caller of a ClaimRunner has to do next.
 enum class ClaimStep : std::uint8_t
 {
     Continue, ///< Call step().
-    AskHolder, ///< Send query() to its host; then onHolderReply() or onHolderTimeout().
-    Send, ///< Open a connection, then call beginSend() right before the first byte; or cancel().
-    Wait, ///< Sent: call onAnswer() or onLost() when it is known which.
-    Answer, ///< answer() goes to the caller.
-    Refuse, ///< reason() and runState() go to the caller.
+    AskHolder, ///< Send query() to the host of the holder, then call onHolderReply() or onHolderTimeout().
+    Send, ///< Open a connection, then call beginSend() right before the first byte; or call cancel().
+    Wait, ///< Sent: call onAnswer() or onLost() when the outcome is known.
+    Answer, ///< Return answer() to the caller.
+    Refuse, ///< Return reason() and runState() to the caller.
 };
 
-/// Carries one request that may not be repeated from its arrival to its one sending, or to the answer of an earlier one.
-/// Each step makes at most one call to the store, so that a test can stop it between any two. One thread runs it.
+/// Handles one non-idempotent request: claims its key in the store and lets it be sent at most once, or finds the answer of an
+/// earlier attempt. Each step makes at most one call to the store, so that a test can interrupt it between any two calls. Not
+/// thread-safe.
 ///
-/// The happy path costs the store two writes, the claim and its answer, and no read.
+/// Without conflicts it needs two writes to the store, the claim and its answer, and no read.
 class ClaimRunner
 {
 public:
-    /// `nonce` must be unlike any other, also from other processes: 16 random bytes.
+    /// `nonce` must be unique over all processes: 16 random bytes.
     ClaimRunner(ClaimTable &table, ClaimLease &lease, Store &store, std::string_view prefix, const ClaimCall &call, std::string nonce);
     ClaimRunner(const ClaimRunner &) = delete;
     ClaimRunner &operator=(const ClaimRunner &) = delete;
 
-    /// A claim that was not sent is barred from it.
+    /// Cancels the claim if the call was not sent.
     ~ClaimRunner();
 
     ClaimStep step(TimePoint now);
@@ -43,27 +44,29 @@
     const ClaimQuery &query() const;
     ClaimStep onHolderReply(const ClaimQueryReply &reply, TimePoint now);
 
-    /// The holder's host gave no answer in time.
+    /// The host of the holder did not reply in time.
     ClaimStep onHolderTimeout(TimePoint now);
 
-    /// After Send: whether the call may leave now. If not it never will, and the runner refuses.
+    /// After Send: returns whether the call may be sent now. If not, it must never be sent, and the runner refuses.
     bool beginSend(TimePoint now);
 
-    /// After Send and before beginSend(): it will not be sent, for this reason.
+    /// After Send and before beginSend(): the call will not be sent, for this reason.
     ClaimStep cancel(Reason reason, TimePoint now);
 
-    /// After beginSend(): the whole answer came on the connection that the call left by.
+    /// After beginSend(): the complete answer arrived on the connection on which the call was sent.
     ClaimStep onAnswer(ClaimAnswer answer);
 
-    /// After beginSend(): no whole answer will come. The call is not sent again, whatever became of it.
+    /// After beginSend(): no complete answer will arrive. The call is not sent again, whether it ran or not.
     ClaimStep onLost(Reason reason);
 
     const ClaimAnswer &answer() const;
     const Reason &reason() const;
 
-    /// NotRun only where the store has shown that no request with this key ran. A host that can't reach the store
-    /// knows that it sent nothing itself, but not whether an earlier try of the same call ran at another host.
+    /// NotRun only if the store has shown that no request with this key ran. A host that cannot reach the store knows that it
+    /// sent nothing itself, but not whether an earlier attempt of the same call ran through another host.
     RunState runState() const;
+
+    /// With Refuse: time after which a retry makes sense; zero if none does.
     Duration retryAfter() const;
 
 private:
@@ -93,7 +96,7 @@
     std::string nonce_;
     Step next_ = &ClaimRunner::writeClaim;
     ClaimStep result_ = ClaimStep::Continue;
-    std::int64_t revision_ = 0; ///< Of the record to be replaced.
+    std::int64_t revision_ = 0; ///< Of the record to be replaced; 0 to create it.
     ClaimRecord existing_;
     ClaimQuery query_;
     bool isAdded_ = false;
--- a/coordination/claim_table.cpp
+++ b/coordination/claim_table.cpp
@@ -71,7 +71,7 @@
     if (entry == entries_.end() || entry->second.phase != Phase::Held) {
         return false;
     }
-    // A host paused for long wakes with a claim that others have since asked about or that has lapsed.
+    // After a long pause of this host, the claim may have expired, or peers may have asked about it.
     if (!isValid(entry->second, now)) {
         return false;
     }
@@ -103,8 +103,8 @@
     if (entry == entries_.end() || entry->second.phase != Phase::Sent) {
         return;
     }
-    // Load: the store is down for long while calls go on being answered. Without the limits their answers fill the
-    // memory of a small host; an answer that finds no room is only missing for a caller that asks again.
+    // During a long outage of the store, the answers of further calls would fill the memory of a small host without these limits.
+    // An answer that is not kept is missing only for a caller that retries.
     const bool hasRoom = answer.body.size() <= options_.maxBodyBytes && keptBytes_ + answer.body.size() <= options_.maxKeptBytes;
     if (!hasRoom) {
         answer.body.clear();
--- a/coordination/claim_table.h
+++ b/coordination/claim_table.h
@@ -16,34 +16,33 @@
 /// Times and limits of claims.
 struct ClaimOptions
 {
-    Duration validity = std::chrono::seconds(10); ///< From the first write of a claim to the sending.
-    Duration lifetime = std::chrono::hours(24); ///< How long the store keeps a claim at least.
-    Duration leaseSharingTime = std::chrono::hours(1); ///< Claims of this span share one lease.
-    Duration retryAfter = std::chrono::seconds(1); ///< When to come back for a call that is running.
-    Duration recordRetryDelay = std::chrono::seconds(1); ///< After a failed attempt to record, before the next.
-    Duration canceledLifetime = std::chrono::minutes(10); ///< How long a claim that was never sent is remembered as such.
+    Duration validity = std::chrono::seconds(10); ///< Maximum time from the first write of a claim to the sending of its call.
+    Duration lifetime = std::chrono::hours(24); ///< Minimum time for which the store keeps a claim.
+    Duration leaseSharingTime = std::chrono::hours(1); ///< Claims written within this time share one lease.
+    Duration retryAfter = std::chrono::seconds(1); ///< Retry delay returned for a call that is running.
+    Duration recordRetryDelay = std::chrono::seconds(1); ///< Delay after a failed write to the store.
+    Duration canceledLifetime = std::chrono::minutes(10); ///< How long a canceled claim is kept in memory beyond its validity.
     std::size_t maxClaims = 10'000; ///< Claims of this process in memory.
-    std::size_t maxBodyBytes = 262'144; ///< Bytes of an answer that are kept; longer ones are not kept at all.
-    std::size_t maxKeptBytes = 67'108'864; ///< Bytes of answers waiting to be recorded.
+    std::size_t maxBodyBytes = 262'144; ///< Size of an answer's body above which it is not kept.
+    std::size_t maxKeptBytes = 67'108'864; ///< Total size of the answers that wait to be recorded.
 };
 
-/// What has to be done to the store for one claim of this process.
+/// A write to the store that is due for one claim of this process.
 struct ClaimUpdate
 {
     std::string nonce;
     std::string key;
-    std::int64_t revision = 0; ///< Of the record that the claim was last seen in, 0 if that is not known.
+    std::int64_t revision = 0; ///< Last known revision of the claim's record; 0 if unknown.
     std::int64_t leaseId = 0;
-    bool isDeletion = false; ///< The claim was never sent: its key is freed for another try.
+    bool isDeletion = false; ///< Whether to delete the key: the call was never sent, and another attempt may claim the key.
     std::string value; ///< Otherwise the record to write.
 };
 
-/// All claims that this process made and that are not settled in the store yet. It alone knows whether a call was
-/// sent, so everything that may send or swear not to has to pass here. Thread-safe: requests, peers' questions and the
-/// recording run on different threads.
+/// The claims of this process whose end is not in the store yet. Only this table knows whether a call was sent, so each decision to
+/// send a call or to cancel it is made here. Thread-safe: requests, queries of peers and the recorder run on different threads.
 ///
-/// What goes wrong without it: a holder is paused between its claim and sending, another host takes it for idle and
-/// sends the call, and the first one wakes and sends it again. Sending and swearing exclude each other here.
+/// Sending and canceling exclude each other. Otherwise a holder could be paused between its claim and the sending, another host
+/// could consider the claim unused and send the call, and the first one would resume and send it again.
 class ClaimTable
 {
 public:
@@ -53,37 +52,39 @@
     const std::string &incarnation() const;
     const ClaimOptions &options() const;
 
-    /// Makes room for a new claim; false if there is none.
+    /// Adds a new claim. Returns false if the table is full.
     bool add(std::string_view nonce, std::string_view key, std::string_view requestDigest);
 
     /// The claim is about to be written to the store.
     void onWriting(std::string_view nonce, std::int64_t leaseId, TimePoint now);
 
-    /// The claim stands in the store.
+    /// The claim was written to the store.
     void onClaimed(std::string_view nonce, std::int64_t revision);
 
-    /// The last check before the first byte leaves: true once at most. False when the claim is not held, was barred, or
-    /// its validity has passed.
+    /// The last check before the first byte is sent. Returns true at most once; false if the claim is not held, was canceled, or its
+    /// validity has passed.
     bool beginSend(std::string_view nonce, TimePoint now);
 
-    /// Bars a claim that was not sent from ever being sent. False if it had been sent or barred before: then a peer may
-    /// have taken the call over and sent it.
+    /// Cancels a claim that was not sent, so that it never will be. Returns false if it was sent or canceled before: then a peer may
+    /// have claimed the key and sent the call.
     bool cancel(std::string_view nonce, TimePoint now);
 
-    /// How a sent call ended.
+    /// The call was sent and answered.
     void onAnswer(std::string_view nonce, ClaimAnswer answer);
+
+    /// The call was sent and no answer will come.
     void onLost(std::string_view nonce);
 
-    /// A peer's or an own request's question about a claim. A claim that waits past its validity is barred first.
+    /// Handles a query of a peer or of another request of this host. A claim not sent within its validity is canceled first.
     ClaimQueryReply onQuery(const ClaimQuery &query, TimePoint now);
 
-    /// The next claim whose end is to be written to the store, if one is due.
+    /// The next write to the store that is due, if there is one.
     std::optional<ClaimUpdate> nextUpdate(TimePoint now);
 
-    /// The work is done or pointless: the claim is forgotten.
+    /// The update is done or no longer needed: removes the claim.
     void onUpdateDone(std::string_view nonce);
 
-    /// The work failed and is tried again later, on the record of `revision` (0: look it up).
+    /// The update failed and is retried later, on the record of `revision` (0: read the record first).
     void onUpdateFailed(std::string_view nonce, std::int64_t revision, TimePoint now);
 
 private:
@@ -102,7 +103,7 @@
         std::string key;
         std::string requestDigest;
         Phase phase = Phase::Claiming;
-        bool isWritten = false;
+        bool isWritten = false; ///< The claim may be in the store: its write has begun.
         std::int64_t revision = 0;
         std::int64_t leaseId = 0;
         TimePoint claimedAt;
--- a/tests/coordination/test_claim_runner.cpp
+++ b/tests/coordination/test_claim_runner.cpp
@@ -19,12 +19,12 @@
 namespace
 {
 
-ClaimCall callOf(std::size_t key)
+ClaimCall makeCall(std::size_t key)
 {
     return {"desk", "errata", "key" + std::to_string(key), "digest"};
 }
 
-/// One process: what it knows is gone when it is killed.
+/// The state of one process, which is lost when the process is killed.
 struct Process
 {
     Process(std::size_t host, int incarnation, Store &store)
@@ -39,7 +39,7 @@
     ClaimRecorder recorder;
 };
 
-/// Callers, hosts and one service that counts how often each call ran.
+/// Callers, hosts and a service that counts the executions of each call.
 class Deployment
 {
 public:
@@ -53,7 +53,7 @@
         }
     }
 
-    void act()
+    void runRandomAction()
     {
         now_ += chance(3) ? Duration(15s) : std::chrono::milliseconds(below(20));
         const std::size_t host = below(hostCount);
@@ -63,7 +63,7 @@
             attempts_.push_back(std::make_unique<Attempt>(Attempt{key, processes_[host], nullptr, ClaimStep::Continue}));
             Attempt &attempt = *attempts_.back();
             Process &process = *attempt.process;
-            attempt.runner = std::make_unique<ClaimRunner>(process.table, process.lease, store_, "p/", callOf(key), std::to_string(++lastNonce_));
+            attempt.runner = std::make_unique<ClaimRunner>(process.table, process.lease, store_, "p/", makeCall(key), std::to_string(++lastNonce_));
         } else if (dice < 10) {
             kill(host);
         } else if (dice < 12) {
@@ -78,7 +78,7 @@
     std::array<int, 3> executions{};
     std::size_t answers = 0;
     std::size_t notRun = 0;
-    std::vector<std::string> faults;
+    std::vector<std::string> violations;
 
 private:
     static constexpr std::size_t hostCount = 3;
@@ -88,7 +88,7 @@
     {
         std::size_t key = 0;
         std::shared_ptr<Process> process;
-        std::unique_ptr<ClaimRunner> runner; // After its process, which must outlive it.
+        std::unique_ptr<ClaimRunner> runner; // Declared after `process`, which must outlive it.
         ClaimStep step = ClaimStep::Continue;
     };
 
@@ -107,7 +107,7 @@
         return std::make_shared<Process>(host, ++lastIncarnation_, store_);
     }
 
-    /// A killed process forgets all. Now and then it was only paused, is replaced, and wakes beside the new one.
+    /// Replaces a process. A killed process loses its state; in 30% of the cases it was only paused and resumes beside the new one.
     void kill(std::size_t host)
     {
         const auto old = std::exchange(processes_[host], makeProcess(host));
@@ -125,13 +125,13 @@
             attempt.step = runner.step(now_);
             break;
         case ClaimStep::AskHolder:
-            attempt.step = chance(20) ? runner.onHolderTimeout(now_) : runner.onHolderReply(ask(runner.query()), now_);
+            attempt.step = chance(20) ? runner.onHolderTimeout(now_) : runner.onHolderReply(queryHolder(runner.query()), now_);
             break;
         case ClaimStep::Send:
             send(attempt);
             break;
         case ClaimStep::Wait:
-            attempt.step = chance(60) && ran_[&runner] ? runner.onAnswer(answerOf(attempt.key)) : runner.onLost({ResultCode::TargetTimeout, "silent"});
+            attempt.step = chance(60) && hasRun_[&runner] ? runner.onAnswer(makeAnswer(attempt.key)) : runner.onLost({ResultCode::TargetTimeout, "silent"});
             break;
         case ClaimStep::Answer:
         case ClaimStep::Refuse:
@@ -143,7 +143,7 @@
         }
     }
 
-    ClaimQueryReply ask(const ClaimQuery &query)
+    ClaimQueryReply queryHolder(const ClaimQuery &query)
     {
         return processes_[query.host[1] - '0']->table.onQuery(query, now_);
     }
@@ -159,12 +159,12 @@
             return;
         }
         attempt.step = ClaimStep::Wait;
-        // A connection that has gone silent may or may not have carried the call.
-        ran_[attempt.runner.get()] = chance(85);
-        executions[attempt.key] += ran_[attempt.runner.get()] ? 1 : 0;
+        // A connection that fails afterwards may or may not have delivered the call.
+        hasRun_[attempt.runner.get()] = chance(85);
+        executions[attempt.key] += hasRun_[attempt.runner.get()] ? 1 : 0;
     }
 
-    ClaimAnswer answerOf(std::size_t key) const
+    ClaimAnswer makeAnswer(std::size_t key) const
     {
         return {200, "text/plain", "ran " + std::to_string(key) + " time " + std::to_string(executions[key]), true};
     }
@@ -174,14 +174,14 @@
         const std::string call = "call " + std::to_string(attempt.key);
         if (attempt.step == ClaimStep::Answer) {
             ++answers;
-            if (!(attempt.runner->answer() == answerOf(attempt.key))) {
-                faults.push_back(call + " got another answer");
+            if (!(attempt.runner->answer() == makeAnswer(attempt.key))) {
+                violations.push_back(call + " got another answer");
             }
             return;
         }
         notRun += attempt.runner->runState() == RunState::NotRun ? 1 : 0;
         if (attempt.runner->runState() == RunState::NotRun && executions[attempt.key] > 0) {
-            faults.push_back(call + " ran and was refused as not run: " + attempt.runner->reason().text);
+            violations.push_back(call + " ran and was refused as not run: " + attempt.runner->reason().text);
         }
     }
 
@@ -190,57 +190,56 @@
     LossyStore store_;
     std::array<std::shared_ptr<Process>, hostCount> processes_;
     std::vector<std::unique_ptr<Attempt>> attempts_;
-    std::map<const ClaimRunner *, bool> ran_;
+    std::map<const ClaimRunner *, bool> hasRun_;
     int lastIncarnation_ = 0;
     int lastNonce_ = 0;
 };
 
-/// Two processes on a healthy store.
+/// Two processes with an available store.
 struct Pair
 {
     ClaimStep runToEnd(ClaimRunner &runner)
     {
         ClaimStep step = ClaimStep::Continue;
         while (step == ClaimStep::Continue || step == ClaimStep::AskHolder) {
-            step = step == ClaimStep::Continue ? runner.step(now) : runner.onHolderReply(ask(runner.query()), now);
+            step = step == ClaimStep::Continue ? runner.step(now) : runner.onHolderReply(queryHolder(runner.query()), now);
         }
         return step;
     }
 
-    ClaimQueryReply ask(const ClaimQuery &query)
+    ClaimQueryReply queryHolder(const ClaimQuery &query)
     {
         return (query.host == "h0" ? first : second)->table.onQuery(query, now);
     }
 
-    std::unique_ptr<ClaimRunner> makeRunner(Process &process, const ClaimCall &call = callOf(1))
+    std::unique_ptr<ClaimRunner> makeRunner(Process &process, const ClaimCall &call = makeCall(1))
     {
         return std::make_unique<ClaimRunner>(process.table, process.lease, store, "p/", call, std::to_string(++nonce));
     }
 
     void restartFirst()
     {
-        gone.push_back(std::exchange(first, std::make_unique<Process>(0, static_cast<int>(gone.size()) + 2, store)));
+        replaced.push_back(std::exchange(first, std::make_unique<Process>(0, static_cast<int>(replaced.size()) + 2, store)));
     }
 
     TimePoint now = TimePoint(1h);
     LossyStore store{[this] { return now; }};
     std::unique_ptr<Process> first = std::make_unique<Process>(0, 1, store);
     std::unique_ptr<Process> second = std::make_unique<Process>(1, 1, store);
-    std::vector<std::unique_ptr<Process>> gone; ///< Kept for the runners that a test still holds.
+    std::vector<std::unique_ptr<Process>> replaced; ///< Must outlive the runners that a test still holds.
     int nonce = 0;
 };
 
-const ClaimAnswer done{201, "application/json", std::string("{\"ok\":1}\0\n", 10), true};
+const ClaimAnswer sampleAnswer{201, "application/json", std::string("{\"ok\":1}\0\n", 10), true};
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(ClaimRunnerTest)
 
-BOOST_AUTO_TEST_CASE(noCallRunsTwiceAndNoRefusalLies)
+BOOST_AUTO_TEST_CASE(noCallRunsTwiceAndNotRunIsAccurate)
 {
-    // The store goes down, its answers get lost, hosts are killed or paused between any two steps, connections go
-    // silent, and callers ask again at other hosts. A correction that ran twice issues an erratum twice, and one that
-    // ran but is called not run is lodged again by its clerk.
+    // The store fails or its answers are lost, hosts are killed or paused between any two steps, connections fail, and callers retry at
+    // other hosts. A call that runs twice has its effects twice, and one that ran but is reported as not run is sent again by its caller.
     constexpr std::uint64_t seeds = 5000;
     std::size_t ran = 0;
     std::size_t answers = 0;
@@ -248,9 +247,9 @@
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         Deployment deployment(seed);
         for (int action = 0; action < 500; ++action) {
-            deployment.act();
+            deployment.runRandomAction();
         }
-        const std::string fault = deployment.faults.empty() ? "" : deployment.faults.front();
+        const std::string fault = deployment.violations.empty() ? "" : deployment.violations.front();
         BOOST_REQUIRE_MESSAGE(fault.empty(), "seed " << seed << ": " << fault);
         for (const int executions : deployment.executions) {
             BOOST_REQUIRE_MESSAGE(executions <= 1, "seed " << seed << ": a call ran " << executions << " times");
@@ -269,22 +268,22 @@
 {
     Pair pair;
     for (int i = 0; i < 10; ++i) {
-        const auto runner = pair.makeRunner(*pair.first, callOf(i));
+        const auto runner = pair.makeRunner(*pair.first, makeCall(i));
         BOOST_TEST((pair.runToEnd(*runner) == ClaimStep::Send));
         BOOST_TEST(runner->beginSend(pair.now));
         BOOST_TEST(!runner->beginSend(pair.now));
-        BOOST_TEST((runner->onAnswer(done) == ClaimStep::Answer));
+        BOOST_TEST((runner->onAnswer(sampleAnswer) == ClaimStep::Answer));
         BOOST_TEST(pair.first->recorder.step(pair.now));
         BOOST_TEST(!pair.first->recorder.step(pair.now));
     }
-    constexpr int leaseForAnHour = 1;
-    BOOST_TEST(pair.store.calls == 10 * 2 + leaseForAnHour);
+    constexpr int leasesPerHour = 1;
+    BOOST_TEST(pair.store.calls == 10 * 2 + leasesPerHour);
 }
 
-BOOST_AUTO_TEST_CASE(retriesAnywhereGetTheKeptAnswer)
+BOOST_AUTO_TEST_CASE(retriesAtAnyHostGetTheKeptAnswer)
 {
-    // A caller's connection breaks while its call runs, and it asks again at another host, before and after the
-    // answer is in the store. Without the kept answer it would never learn what its correction came to.
+    // The connection of a caller breaks while its call runs, and it retries at another host, before and after the answer is in the
+    // store. Without the kept answer it would never learn the result of its call.
     Pair pair;
     const auto runner = pair.makeRunner(*pair.first);
     BOOST_TEST((pair.runToEnd(*runner) == ClaimStep::Send));
@@ -294,12 +293,12 @@
     BOOST_TEST((early->reason().code == ResultCode::ClaimHeld));
     BOOST_TEST((early->retryAfter() > 0s));
     BOOST_TEST((early->runState() == RunState::MayHaveRun));
-    runner->onAnswer(done);
+    runner->onAnswer(sampleAnswer);
     for (int time = 0; time < 2; ++time) {
         for (Process *process : {pair.first.get(), pair.second.get()}) {
             const auto retry = pair.makeRunner(*process);
             BOOST_TEST((pair.runToEnd(*retry) == ClaimStep::Answer));
-            BOOST_TEST((retry->answer() == done));
+            BOOST_TEST((retry->answer() == sampleAnswer));
         }
         while (pair.first->recorder.step(pair.now)) {
         }
@@ -307,25 +306,25 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(oneKeyServesOneRequest)
+BOOST_AUTO_TEST_CASE(aKeyIsRefusedForAnotherRequest)
 {
-    // A program reuses its key for another correction. Given the kept answer it would believe the second one lodged.
+    // A caller reuses a key for another request. If it got the kept answer, it would assume that the second request was carried out.
     Pair pair;
     const auto runner = pair.makeRunner(*pair.first);
     BOOST_TEST((pair.runToEnd(*runner) == ClaimStep::Send));
-    ClaimCall other = callOf(1);
+    ClaimCall other = makeCall(1);
     other.requestDigest = "other";
     const auto reuse = pair.makeRunner(*pair.second, other);
     BOOST_TEST((pair.runToEnd(*reuse) == ClaimStep::Refuse));
     BOOST_TEST((reuse->reason().code == ResultCode::IdempotencyKeyReused));
-    const ClaimCall call = callOf(1);
+    const ClaimCall call = makeCall(1);
     BOOST_TEST(claimKey("p/", call) != claimKey("p/", {"press", call.service, call.idempotencyKey, {}}));
     BOOST_TEST(claimKey("p/", {"ab", "c", "k", {}}) != claimKey("p/", {"a", "bc", "k", {}}));
 }
 
 BOOST_AUTO_TEST_CASE(aCallOfADeadHostIsNotSentAgain)
 {
-    // A host is killed after it sent a confirmation. The retry must not order the vinyl a second time.
+    // A host is killed after it sent a call. A retry must not send the call a second time.
     Pair pair;
     auto runner = pair.makeRunner(*pair.first);
     BOOST_TEST((pair.runToEnd(*runner) == ClaimStep::Send));
@@ -340,10 +339,10 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aPausedHolderWakesTooLateToSend)
+BOOST_AUTO_TEST_CASE(aHolderPausedPastTheValidityDoesNotSend)
 {
-    // A host is paused between its claim and the sending. Another host asks it, is told that the call was not sent,
-    // and sends it; the first one wakes then. It must neither send nor call the call not run.
+    // A host is paused between its claim and the sending. Another host queries it, learns that the call was not sent, and sends it. When
+    // the first host resumes, it must neither send the call nor report it as not run.
     Pair pair;
     const auto paused = pair.makeRunner(*pair.first);
     BOOST_TEST((pair.runToEnd(*paused) == ClaimStep::Send));
@@ -355,10 +354,10 @@
     BOOST_TEST((paused->runState() == RunState::MayHaveRun));
 }
 
-BOOST_AUTO_TEST_CASE(aTimeReadBeforeAPauseDoesNotLetTheCallOut)
+BOOST_AUTO_TEST_CASE(aTimestampFromBeforeAPauseDoesNotAllowSending)
 {
-    // The thread read its clock, the process was paused, and a peer's question was answered first on waking. By the
-    // old time the claim still looks young.
+    // A thread reads the clock, the process is paused, and after the pause a peer's query is answered first. By the old time the claim
+    // still seems valid.
     Pair pair;
     const auto paused = pair.makeRunner(*pair.first);
     BOOST_TEST((pair.runToEnd(*paused) == ClaimStep::Send));
@@ -369,10 +368,10 @@
     BOOST_TEST(!paused->beginSend(read));
 }
 
-BOOST_AUTO_TEST_CASE(sendingAndSwearingExcludeEachOther)
+BOOST_AUTO_TEST_CASE(sendingAndCancelingAreMutuallyExclusive)
 {
-    // The request's thread is about to send by a time read earlier while a peer's question comes in on another thread.
-    // If both went through, the peer would take the call over and it would run twice.
+    // The thread of a request is about to send, with a time read earlier, while a peer's query arrives on another thread. If both
+    // succeeded, the peer would take over the call and it would run twice.
     ClaimTable table("h0", "1");
     int sentCount = 0;
     for (int round = 0; round < 2000; ++round) {
@@ -384,13 +383,13 @@
         ClaimFate fate = ClaimFate::Running;
         std::barrier together(2);
         const std::function<void()> send = [&] { isSent = table.beginSend(nonce, TimePoint(1h)); };
-        const std::function<void()> ask = [&] { fate = table.onQuery({"h0", "1", nonce}, TimePoint(2h)).fate; };
+        const std::function<void()> queryHolder = [&] { fate = table.onQuery({"h0", "1", nonce}, TimePoint(2h)).fate; };
         std::thread other([&] {
             together.arrive_and_wait();
-            (round % 2 == 0 ? send : ask)();
+            (round % 2 == 0 ? send : queryHolder)();
         });
         together.arrive_and_wait();
-        (round % 2 == 0 ? ask : send)();
+        (round % 2 == 0 ? queryHolder : send)();
         other.join();
         BOOST_REQUIRE(isSent != (fate == ClaimFate::NeverSent));
         sentCount += isSent ? 1 : 0;
@@ -399,9 +398,9 @@
     BOOST_TEST_MESSAGE(sentCount << " of 2000 were sent first");
 }
 
-BOOST_AUTO_TEST_CASE(aCallAboutToBeSentIsLeftToItsHolder)
+BOOST_AUTO_TEST_CASE(aValidClaimIsNotTakenOver)
 {
-    // A caller asks again at once. Taking the claim over each time would let two impatient callers keep it from ever being sent.
+    // A caller retries at once. If each retry took over the claim, two callers could keep the call from ever being sent.
     Pair pair;
     const auto runner = pair.makeRunner(*pair.first);
     BOOST_TEST((pair.runToEnd(*runner) == ClaimStep::Send));
@@ -411,9 +410,9 @@
     BOOST_TEST(runner->beginSend(pair.now));
 }
 
-BOOST_AUTO_TEST_CASE(aCallDroppedWhileItRanIsNotHeldForEver)
+BOOST_AUTO_TEST_CASE(aCallDroppedWhileItRanIsReportedAsLost)
 {
-    // The relay of a sent call ends in an error of our own. Retries must not be told for a day to come back.
+    // The relay of a sent call ends with an internal error. Retries must not be told to retry later for the claim's lifetime of a day.
     Pair pair;
     auto runner = pair.makeRunner(*pair.first);
     BOOST_TEST((pair.runToEnd(*runner) == ClaimStep::Send));
@@ -424,18 +423,18 @@
     BOOST_TEST((retry->reason().code == ResultCode::MayHaveRun));
 }
 
-BOOST_AUTO_TEST_CASE(aHolderWithoutMemoryOfACallDoesNotVouchForIt)
+BOOST_AUTO_TEST_CASE(aHolderWithoutAnEntryDoesNotReportNotRun)
 {
-    // The store holds a claim that its living holder has dropped. Nobody knows whether it was sent.
+    // The store holds a claim that its running holder has dropped, so it is unknown whether the call was sent.
     Pair pair;
     const ClaimRecord record{ClaimState::Claimed, "h0", "1", "dropped", "digest", 0, {}};
-    pair.store.compareAndSwap(claimKey("p/", callOf(1)), 0, formatClaimRecord(record), 0);
+    pair.store.compareAndSwap(claimKey("p/", makeCall(1)), 0, formatClaimRecord(record), 0);
     const auto retry = pair.makeRunner(*pair.second);
     BOOST_TEST((pair.runToEnd(*retry) == ClaimStep::Refuse));
     BOOST_TEST((retry->reason().code == ResultCode::MayHaveRun));
 }
 
-BOOST_AUTO_TEST_CASE(aHolderPausedAloneSaysTrulyThatNothingRan)
+BOOST_AUTO_TEST_CASE(aPausedHolderWithoutRetriesReportsNotRun)
 {
     Pair pair;
     const auto paused = pair.makeRunner(*pair.first);
@@ -448,10 +447,10 @@
     BOOST_TEST((pair.runToEnd(*retry) == ClaimStep::Send));
 }
 
-BOOST_AUTO_TEST_CASE(aHungUpCallerLeavesNoClaimBehind)
+BOOST_AUTO_TEST_CASE(aDisconnectedCallerLeavesNoClaim)
 {
-    // The caller hangs up while its call waits for a connection. The retry would be told for ever that the call is
-    // being carried out.
+    // A caller disconnects while its call waits for a connection. Without cancellation every retry would be told that the call is being
+    // carried out.
     Pair pair;
     auto runner = pair.makeRunner(*pair.first);
     BOOST_TEST((pair.runToEnd(*runner) == ClaimStep::Send));
@@ -467,7 +466,7 @@
 
 BOOST_AUTO_TEST_CASE(nothingIsSentWhileTheStoreIsDown)
 {
-    // Without the store no host can know whether another has sent the call.
+    // Without the store no host can know whether another host has sent the call.
     Pair pair;
     pair.store.isDown = true;
     const auto runner = pair.makeRunner(*pair.first);
@@ -476,15 +475,15 @@
     BOOST_TEST((runner->retryAfter() > 0s));
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerOutlivesAnOutageOfTheStore)
+BOOST_AUTO_TEST_CASE(anAnswerSurvivesAnOutageOfTheStore)
 {
-    // The store goes down while a call runs. The holder keeps the answer until it can be recorded.
+    // The store fails while a call runs. The holder keeps the answer until it can be recorded.
     Pair pair;
     const auto runner = pair.makeRunner(*pair.first);
     BOOST_TEST((pair.runToEnd(*runner) == ClaimStep::Send));
     BOOST_TEST(runner->beginSend(pair.now));
     pair.store.isDown = true;
-    runner->onAnswer(done);
+    runner->onAnswer(sampleAnswer);
     for (int time = 0; time < 100; ++time) {
         pair.first->recorder.step(pair.now);
         pair.now += 1s;
@@ -496,7 +495,7 @@
     pair.restartFirst();
     const auto retry = pair.makeRunner(*pair.second);
     BOOST_TEST((pair.runToEnd(*retry) == ClaimStep::Answer));
-    BOOST_TEST((retry->answer() == done));
+    BOOST_TEST((retry->answer() == sampleAnswer));
 }
 
 BOOST_AUTO_TEST_CASE(anAnswerTooLargeIsNotKept)
@@ -512,14 +511,14 @@
     BOOST_TEST((retry->reason().code == ResultCode::MayHaveRun));
 }
 
-BOOST_AUTO_TEST_CASE(aClaimLivesADayAtLeast)
+BOOST_AUTO_TEST_CASE(aClaimIsKeptForAtLeastADay)
 {
     Pair pair;
     for (const auto &[wait, step] : {std::pair(Duration(24h), ClaimStep::Answer), std::pair(Duration(26h), ClaimStep::Send)}) {
         const auto runner = pair.makeRunner(*pair.first);
         BOOST_TEST((pair.runToEnd(*runner) == ClaimStep::Send));
         BOOST_TEST(runner->beginSend(pair.now));
-        runner->onAnswer(done);
+        runner->onAnswer(sampleAnswer);
         BOOST_TEST(pair.first->recorder.step(pair.now));
         pair.now += wait - 1s;
         const auto retry = pair.makeRunner(*pair.second);
@@ -528,9 +527,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aRecordSurvivesItsText)
+BOOST_AUTO_TEST_CASE(aRecordIsParsedBackFromItsText)
 {
-    const ClaimRecord record{ClaimState::Answered, "h:1", "", "n\n", std::string("\0d", 2), -3, done};
+    const ClaimRecord record{ClaimState::Answered, "h:1", "", "n\n", std::string("\0d", 2), -3, sampleAnswer};
     const std::string text = formatClaimRecord(record);
     Reason reason;
     const auto parsed = parseClaimRecord(text, reason);
