--- a/coordination/order_scheduler.cpp
+++ b/coordination/order_scheduler.cpp
@@ -11,10 +11,11 @@
 
 constexpr int maxRetryDoublings = 5;
 
-/// Part of a newer round in the mean: drains differ by their longest answer, and three rounds are seen within seconds.
+/// Weight of the newest round in the moving average. Drain times vary with the longest answer, and three rounds are observed within
+/// seconds.
 constexpr double roundSmoothing = 0.3;
 
-/// How much longer than the mean a round is reckoned: the engine whose answers run longest decides when a batch has ended.
+/// Ratio of the planned to the average time of a round: the engine with the longest running answer decides when a batch has ended.
 constexpr double roundSafetyFactor = 1.25;
 
 bool isSameState(const EngineState &left, const EngineState &right)
@@ -69,8 +70,9 @@
     return plan;
 }
 
-/// Made for versions that are named faster than a round over all engines takes: in a fixed order the last ones would never have
-/// their turn, and what runs there would grow old without bound.
+/// Engines not in their desired state, or not observed yet, sorted by how long they have been outdated. In a fixed sequence the last
+/// engines would never be selected if new versions arrived faster than all engines can load them, and the age of their weights would
+/// have no bound.
 std::vector<OrderScheduler::Engine *> OrderScheduler::longestOutdatedFirst(TimePoint now)
 {
     std::vector<Engine *> outdated;
@@ -94,8 +96,8 @@
 
 bool OrderScheduler::maySend(const Order &order, const LeaseHolder &lease, TimePoint now) const
 {
-    // A paused holder wakes with orders in its hands. By then another may lead and have ordered otherwise, and an engine
-    // that does not check fencing tokens would follow whichever order comes last.
+    // A holder that resumes after a pause may still have orders to send. Another host may lead by then and have given other orders, and
+    // an engine that does not check fencing tokens would keep the state of whichever order arrives last.
     if (!lease.isHeld(now) || order.fencingToken != lease.token() || isSuperseded_) {
         return false;
     }
@@ -161,7 +163,7 @@
         engine.desired = desired;
         engine.orderedByOtherAt = orderedByOtherAt;
         engine.readsValidSince = now;
-        // The leader before may have started loads here: each engine counts as loading until it has been read.
+        // The previous leader may have started loads, so each engine counts as loading until it has been read.
         engine.loadingUntil = now + options_.loadTimeout;
         if (desired.announced) {
             applyAnnounced(engine, now);
@@ -169,7 +171,7 @@
     }
 }
 
-/// An engine announces its state when it changes. So a load has ended once it says so, whatever its reports show.
+/// An engine announces its state when the state changes, so a load has ended once it is announced, whatever the engine's reports show.
 void OrderScheduler::applyAnnounced(Engine &engine, TimePoint now)
 {
     if (engine.pending) {
@@ -216,17 +218,17 @@
     }
     engine.repeats = isRepeat ? std::min(engine.repeats + 1, maxRetryDoublings) : 0;
     engine.lastOrder = *order;
-    order->id = ++lastOrder_;
+    order->id = ++lastOrderId_;
     order->fencingToken = token_;
     engine.pending = PendingOrder{*order, now};
     plan.orders.push_back(std::move(*order));
 }
 
-/// Whether there is room for one more load and its notice is old enough. What goes wrong without a notice: requests that wait in the
-/// engine when the order comes are declined, and go to another engine that has its turn next.
+/// Reserves one of the concurrent loads and sends the notice if needed; returns whether the order may be given now. Without a notice,
+/// the requests that wait in the engine when the order arrives would be declined, and be sent to another engine that loads next.
 bool OrderScheduler::prepareLoad(Engine &engine, OrderPlan &plan, std::size_t &loading, TimePoint now) const
 {
-    // A notice keeps its room for as long as it counts as a load: an engine that could not be ordered for longer has to find room anew.
+    // A notice keeps its reservation only while it counts as a load. An engine that could not be ordered for longer needs a new one.
     const bool hasRoom = engine.noticeSentAt && engine.loadingUntil > now;
     if (!hasRoom) {
         if (loading >= maxConcurrentLoads_) {
@@ -267,10 +269,10 @@
     return std::nullopt;
 }
 
-/// How many engines may be out at the same time. What goes wrong with a fixed number: a leader that takes over late, or answers that run
-/// for seconds, leave more rounds than fit before the deadline, from when on an engine that still waits for its turn serves nobody:
-/// ten of fourteen stood idle while the four that were done were overrun. So as many go at once as the time that is left calls
-/// for, going by how long a round has taken lately.
+/// How many engines may load at the same time. With a fixed number, a leader that takes over late, or answers that run for seconds, need
+/// more rounds than fit before the deadline, after which an engine that still waits to load must not serve: ten of fourteen engines
+/// were idle while the four that had loaded were overloaded. The number therefore follows from the time left and the recent duration
+/// of a round.
 std::size_t OrderScheduler::maxConcurrentLoads(TimePoint now) const
 {
     std::size_t outdated = 0;
@@ -299,9 +301,9 @@
 
 bool OrderScheduler::isSettled(const Engine &engine, const LeaseHolder &lease, TimePoint now) const
 {
-    // Orders of the holder before may still be on their way. An engine that checks tokens refuses them once it has seen
-    // ours; with one that does not we wait until none can come. An engine that the holder before was heard to order gets a longer pause,
-    // so that two holders don't take turns at it.
+    // Orders of the previous holder may still be in flight. An engine that checks fencing tokens refuses them once it has received an
+    // order of this host; for other engines this host waits until none can arrive. After a known order of another holder the wait is
+    // longer, so that two holders do not give alternating orders to the same engine.
     const bool isHandover = now < std::max(engine.orderedByOtherAt.value_or(TimePoint{}), options_.listeningSince) + options_.handoverDelay;
     return engine.desired.checksFencing || (now >= lease.settledAt() && !isHandover);
 }
@@ -309,12 +311,12 @@
 void OrderScheduler::closeOrder(Engine &engine, TimePoint now) const
 {
     engine.pending.reset();
-    // Whatever the answer says, only the engine's state tells what came of the order: answers get lost and engines revert.
+    // Only the state of the engine shows the effect of the order, whatever the answer was: answers get lost and engines revert.
     engine.isObserved = false;
     engine.readsValidSince = now;
     engine.nextReadAt = now;
-    // An accepted order is repeated no sooner than a refused one: an engine that reverts each time, or has not begun
-    // to load yet, would be made to load without end.
+    // An accepted order is not repeated sooner than a refused one. Otherwise an engine that reverts each time, or that has not started
+    // to load yet, would have to load again and again.
     engine.nextRepeatAt = now + options_.retryDelay * (1 << engine.repeats);
 }
 
--- a/coordination/order_scheduler.h
+++ b/coordination/order_scheduler.h
@@ -10,27 +10,28 @@
 
 #include "coordination/lease_holder.h"
 
-/// Orders to engines: which weights, adapters and role each of them is to have. docs/design/orders.md has the reasons.
+/// Orders to engines: which weights, adapters and role each engine has to have. docs/design/orders.md explains the design.
 namespace Lovageloft
 {
 
-/// What an engine runs, as it reports it, or what it is to run; then empty fields leave the engine's choice alone.
+/// The state of an engine, either reported or desired. Empty fields of a desired state are left to the engine.
 struct EngineState
 {
     std::string model;
     std::string weightsVersion;
     std::vector<std::string> adapters;
     std::string role;
-    bool isLoading = false; ///< Reported only: it is loading weights now.
+    bool isLoading = false; ///< Only in a reported state: the engine is loading weights.
 };
 
+/// An engine and the state that it has to reach.
 struct DesiredEngine
 {
     std::string target;
-    bool checksFencing = false; ///< Whether it refuses an order with an old fencing token.
+    bool checksFencing = false; ///< Whether the engine refuses an order with an old fencing token.
     EngineState state;
-    std::optional<EngineState> announced = std::nullopt; ///< What it says of itself without being asked, where it does; spares reads.
-    std::optional<TimePoint> dueAt = std::nullopt; ///< When it has to be as wanted, where there is such a time.
+    std::optional<EngineState> announced = std::nullopt; ///< State that the engine publishes by itself, if it does; saves reads.
+    std::optional<TimePoint> dueAt = std::nullopt; ///< Deadline for reaching the desired state, if there is one.
 };
 
 enum class OrderKind : std::uint8_t
@@ -40,7 +41,7 @@
     SetRole,
 };
 
-/// One order. It names the state to reach, so that carrying it out twice is harmless.
+/// One order. It names the state to reach, so it is idempotent.
 struct Order
 {
     std::uint64_t id = 0;
@@ -61,61 +62,63 @@
     Accepted,
     Refused,
     Fenced, ///< The engine has seen a newer fencing token.
-    Lost, ///< No answer: it may arrive yet.
+    Lost, ///< No answer: the order may still arrive.
 };
 
-/// What to do now.
+/// The actions that are due.
 struct OrderPlan
 {
-    std::vector<std::string> reads; ///< Targets whose state is to be read.
-    std::vector<std::string> loadNotices; ///< Targets that will be ordered to load soon: nothing new is to be sent to them.
+    std::vector<std::string> reads; ///< Targets whose state has to be read.
+    std::vector<std::string> loadNotices; ///< Targets that will soon be ordered to load: no new requests should be sent to them.
     std::vector<Order> orders;
-    bool isSuperseded = false; ///< Release the lease: another host leads.
+    bool isSuperseded = false; ///< Another host leads: release the lease.
 };
 
+/// Limits and times of the order scheduler.
 struct OrderOptions
 {
-    std::size_t maxLoads = 3; ///< Weight loads at once; the weight store slows all of them down beyond that.
-    double maxLoadFraction = 0; ///< Part of the engines that may load at once where that is more than `maxLoads`.
-    Duration orderValidity = std::chrono::seconds(1); ///< From the decision to the sending.
-    Duration answerTimeout = std::chrono::seconds(5); ///< Wait for an answer to an order or a read.
-    Duration loadTimeout = std::chrono::seconds(30); ///< A load not seen to end counts that long.
-    Duration loadPollInterval = std::chrono::milliseconds(200); ///< Between looks at an engine that is loading.
-    Duration initialRoundTime = std::chrono::seconds(2); ///< From the choice of an engine until it has loaded, before any was seen.
-    Duration handoverDelay{}; ///< After another holder's order to an engine that doesn't check tokens.
-    TimePoint listeningSince{}; ///< Since when orders of others are heard; before that any engine may have got one.
-    Duration loadNotice{}; ///< Between the notice that an engine is going to load and the order; zero for no notice.
-    Duration pollInterval = std::chrono::seconds(5); ///< Between looks at an engine that is as wanted.
-    Duration maxReportAge{}; ///< How old what an engine reports may be: a report that soon after an order still shows the state before.
-    Duration retryDelay = std::chrono::seconds(1); ///< Before the same order is given again; doubles up to 32 times.
+    std::size_t maxLoads = 3; ///< Concurrent weight loads; with more, the weight store slows all of them down.
+    double maxLoadFraction = 0; ///< Fraction of the engines that may load concurrently, if that is more than `maxLoads`.
+    Duration orderValidity = std::chrono::seconds(1); ///< Maximum time from the decision to the sending of an order.
+    Duration answerTimeout = std::chrono::seconds(5); ///< Timeout for the answer to an order or a read.
+    Duration loadTimeout = std::chrono::seconds(30); ///< How long a load counts as running if its end is not observed.
+    Duration loadPollInterval = std::chrono::milliseconds(200); ///< Between reads of an engine that is loading.
+    Duration initialRoundTime = std::chrono::seconds(2); ///< Assumed time from selecting an engine until it has loaded, before any is observed.
+    Duration handoverDelay{}; ///< Delay after an order of another holder, for engines that do not check fencing tokens.
+    TimePoint listeningSince{}; ///< When this host began to receive the orders of others; before that, any engine may have received one.
+    Duration loadNotice{}; ///< Time between the notice of a load and its order; zero for no notice.
+    Duration pollInterval = std::chrono::seconds(5); ///< Between reads of an engine in its desired state.
+    Duration maxReportAge{}; ///< Maximum age of a reported state: a report within this time after an order may show the state before it.
+    Duration retryDelay = std::chrono::seconds(1); ///< Before the same order is repeated; doubles with each repeat, up to 32 times this value.
 };
 
-/// Brings the engines to the configured state while this host holds the lease, and keeps them there.
+/// Brings the engines to their desired states while this host holds the lease, and keeps them there.
 ///
-/// The load it is made for: a ticket changes the version of all 18 engines, or many engines crash and come back empty.
-/// The harm prevented: all load at once and the weight store slows each of them down; two hosts give opposite orders;
-/// an order of a paused host undoes a newer one. Not thread-safe: one duty owns it.
+/// Designed for a ticket that changes the version of all 18 engines, and for many engines that crash and restart empty. Without it all
+/// engines would load at once and the weight store would slow each of them down, two hosts could give contradicting orders, and an
+/// order of a paused host could revert a newer one. Not thread-safe.
 class OrderScheduler
 {
 public:
     explicit OrderScheduler(OrderOptions options = {});
 
-    /// The whole configured state; engines not named get no orders.
+    /// Sets the desired state of all engines; engines that are not listed get no orders.
     void setDesired(std::span<const DesiredEngine> desired, TimePoint now);
 
-    /// What is due. Without the lease nothing is.
+    /// Returns the actions that are due; none if the lease is not held.
     OrderPlan plan(const LeaseHolder &lease, TimePoint now);
 
-    /// The last check before an order's first byte leaves. False: drop it; a new one comes if it is still needed.
+    /// The last check before the first byte of an order is sent. If it returns false, the order must be dropped; plan() returns a new
+    /// one if it is still needed.
     bool maySend(const Order &order, const LeaseHolder &lease, TimePoint now) const;
 
-    /// How an order that was sent, or dropped after maySend() (Lost), ended.
+    /// Reports the outcome of an order that was sent; Lost for one that was dropped after maySend().
     void onOutcome(const Order &order, OrderOutcome outcome, TimePoint now);
 
-    /// Another holder has ordered, or is about to order, this engine.
+    /// Reports that another lease holder has given an order to this engine, or is about to.
     void onOrderByOther(std::string_view target, TimePoint now);
 
-    /// The answer to a read.
+    /// Reports the result of a read.
     void onState(std::string_view target, const EngineState &state, TimePoint now);
 
 private:
@@ -129,19 +132,19 @@
     {
         DesiredEngine desired;
         EngineState observed;
-        bool isObserved = false; ///< Read since the last order to it and since this host leads.
-        TimePoint readsValidSince; ///< A read asked for before this tells nothing.
+        bool isObserved = false; ///< Read since the last order to the engine and since this host became leader.
+        TimePoint readsValidSince; ///< Reads requested before this time are ignored.
         std::optional<TimePoint> readRequestedAt;
         TimePoint nextReadAt;
         Order lastOrder;
-        TimePoint nextRepeatAt; ///< When the last order may be given again.
-        TimePoint loadingUntil;
-        std::optional<TimePoint> noticeSentAt; ///< When the notice of the load that is due went out.
-        std::optional<TimePoint> selectedAt; ///< When it got its turn to load; until it has loaded.
-        std::optional<TimePoint> orderedByOtherAt; ///< When another holder was last heard to order it.
-        std::optional<TimePoint> outdatedSince; ///< Since when it has not been as wanted; kept while what is wanted changes again.
+        TimePoint nextRepeatAt; ///< When the last order may be repeated.
+        TimePoint loadingUntil; ///< Until when the engine counts as loading.
+        std::optional<TimePoint> noticeSentAt; ///< When the notice of the next load was sent.
+        std::optional<TimePoint> selectedAt; ///< When the engine was selected to load; reset once it has loaded.
+        std::optional<TimePoint> orderedByOtherAt; ///< When another holder was last known to order this engine.
+        std::optional<TimePoint> outdatedSince; ///< When the engine left its desired state; kept if the desired state changes again.
         std::optional<PendingOrder> pending;
-        int repeats = 0;
+        int repeats = 0; ///< Of the last order, for the exponential backoff.
     };
 
     void startLeading(std::int64_t token, TimePoint now);
@@ -160,9 +163,9 @@
     std::map<std::string, Engine, std::less<>> engines_;
     std::int64_t token_ = 0;
     bool isSuperseded_ = false;
-    std::uint64_t lastOrder_ = 0;
-    double roundSeconds_; ///< Mean of the last rounds seen, each from the choice of an engine until it had loaded.
-    std::size_t maxConcurrentLoads_ = 0; ///< As of this plan.
+    std::uint64_t lastOrderId_ = 0;
+    double roundSeconds_; ///< Moving average of the time from the selection of an engine until it has loaded.
+    std::size_t maxConcurrentLoads_ = 0; ///< In the current call of plan().
 };
 
 } // namespace Lovageloft
--- a/tests/coordination/test_order_rounds.cpp
+++ b/tests/coordination/test_order_rounds.cpp
@@ -20,7 +20,7 @@
     return options;
 }
 
-/// A host that has led since `start`.
+/// A host that has been leader since `start`.
 struct Leader
 {
     explicit Leader(const OrderOptions &options)
@@ -36,7 +36,7 @@
     OrderScheduler scheduler;
 };
 
-/// Engines that say of themselves which weights they have.
+/// Engines that announce which weights they have.
 std::vector<DesiredEngine>
 desiredEngines(std::size_t count, const std::string &version, const std::string &announced, std::optional<TimePoint> due, bool checksFencing = true)
 {
@@ -57,26 +57,26 @@
 
 BOOST_AUTO_TEST_SUITE(OrderRoundsTest)
 
-BOOST_AUTO_TEST_CASE(asManyLoadAtOnceAsTheTimeLeftCallsFor)
+BOOST_AUTO_TEST_CASE(concurrentLoadsFollowTheTimeLeft)
 {
-    // A leader takes over four seconds after new weights were named. Three engines at a time, with answers that run for two seconds, would
-    // leave most of fourteen behind at the deadline; from then on they serve nobody and the few that are done are overrun.
-    const auto chosenWith = [](Duration left) {
+    // A leader takes over four seconds after new weights were released. With three engines at a time, and answers that run for two seconds,
+    // most of fourteen engines would not have loaded by the deadline; after it they must not serve, and the few others are overloaded.
+    const auto selectedWith = [](Duration left) {
         OrderOptions options;
         options.loadNotice = 300ms;
         Leader leader(options);
         leader.scheduler.setDesired(desiredEngines(14, "v2", "v1", start + left), start);
         return leader.scheduler.plan(leader.lease, start).loadNotices.size();
     };
-    BOOST_TEST(chosenWith(60s) == 3U);
-    BOOST_TEST(chosenWith(5s) == 7U);
-    BOOST_TEST(chosenWith(1s) == 14U);
-    BOOST_TEST(chosenWith(-1s) == 14U);
+    BOOST_TEST(selectedWith(60s) == 3U);
+    BOOST_TEST(selectedWith(5s) == 7U);
+    BOOST_TEST(selectedWith(1s) == 14U);
+    BOOST_TEST(selectedWith(-1s) == 14U);
 }
 
-BOOST_AUTO_TEST_CASE(howLongARoundTakesIsFollowed)
+BOOST_AUTO_TEST_CASE(concurrentLoadsFollowTheRoundTime)
 {
-    // Where answers run for eight seconds a round takes as long; planned with two, the last engines would miss the deadline.
+    // If answers run for eight seconds, a round takes as long; planned with two seconds, the last engines would miss the deadline.
     OrderOptions options;
     options.maxLoads = 1;
     Leader leader(options);
@@ -94,10 +94,10 @@
     BOOST_TEST(ordered(start + 7s) >= 6U);
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatAnotherHolderWasHeardToOrderIsLeftAloneForATurn)
+BOOST_AUTO_TEST_CASE(anEngineOrderedByAnotherHolderWaitsForTheHandoverDelay)
 {
-    // A leader is cut off from the store and another takes over while half of the engines wait for new weights. Engines that check no
-    // tokens have to see the orders of the two well apart; those that the first never came to should not have to wait with them.
+    // A leader loses the store and another takes over while half of the engines wait for new weights. Engines that do not check fencing
+    // tokens must not receive orders of both within a short time; engines that the first leader never ordered should not have to wait.
     OrderOptions options;
     options.handoverDelay = 3s;
     Leader leader(options);
@@ -114,9 +114,9 @@
     BOOST_TEST(later.orders.front().target == "e0");
 }
 
-BOOST_AUTO_TEST_CASE(aLeaderThatHasJustStartedTakesEachEngineForOrdered)
+BOOST_AUTO_TEST_CASE(aLeaderThatHasJustStartedWaitsTheHandoverDelay)
 {
-    // A host that starts and leads at once can't have heard what the leader before ordered.
+    // A host that starts and becomes leader at once cannot know what the previous leader ordered.
     OrderOptions options;
     options.handoverDelay = 3s;
     options.listeningSince = start - 1s;
--- a/tests/coordination/test_order_scheduler.cpp
+++ b/tests/coordination/test_order_scheduler.cpp
@@ -24,7 +24,7 @@
     TimePoint loadedAt;
     bool checksFencing = false;
     std::int64_t newestToken = 0;
-    bool wasOvertaken = false; ///< Followed an order older than one it had followed before.
+    bool executedStaleOrder = false; ///< Executed an order with an older fencing token than an earlier one.
     int loads = 0;
 
     EngineState read(TimePoint now) const
@@ -34,12 +34,12 @@
         return answer;
     }
 
-    OrderOutcome follow(const Order &order, TimePoint now)
+    OrderOutcome execute(const Order &order, TimePoint now)
     {
         if (checksFencing && order.fencingToken < newestToken) {
             return OrderOutcome::Fenced;
         }
-        wasOvertaken = wasOvertaken || order.fencingToken < newestToken;
+        executedStaleOrder = executedStaleOrder || order.fencingToken < newestToken;
         newestToken = std::max(newestToken, order.fencingToken);
         if (order.kind == OrderKind::SetRole) {
             state.role = order.value;
@@ -65,7 +65,7 @@
     return desired;
 }
 
-/// Hosts that compete for the lease and engines that follow orders, in virtual time.
+/// Hosts that compete for the lease, and engines that execute orders, in virtual time.
 class Deployment
 {
 public:
@@ -81,7 +81,7 @@
             hosts_[i].scheduler = OrderScheduler(options);
             hosts_[i].lease = std::make_unique<LeaseHolder>(store, "p/orders", "h" + std::to_string(i));
             hosts_[i].scheduler.setDesired(desired, now());
-            turn(i);
+            runScheduler(i);
         }
     }
 
@@ -105,17 +105,17 @@
 
     void pause(std::size_t host, Duration time)
     {
-        hosts_[host].awake = now() + time;
+        hosts_[host].pausedUntil = now() + time;
     }
 
-    /// The host that may act as leader now(); the number of hosts if none may.
+    /// Index of the host that may act as leader now; the number of hosts if none may.
     std::size_t leader() const
     {
         const auto found = std::find_if(hosts_.begin(), hosts_.end(), [this](const Host &host) { return host.lease->isHeld(now()); });
         return static_cast<std::size_t>(found - hosts_.begin());
     }
 
-    bool isAsWanted() const
+    bool isInDesiredState() const
     {
         return std::all_of(desired.begin(), desired.end(), [this](const DesiredEngine &engine) {
             const EngineState &state = engines.at(engine.target).state;
@@ -123,12 +123,12 @@
         });
     }
 
-    bool wasOvertaken() const
+    bool executedStaleOrder() const
     {
-        return std::any_of(engines.begin(), engines.end(), [](const auto &engine) { return engine.second.wasOvertaken; });
+        return std::any_of(engines.begin(), engines.end(), [](const auto &engine) { return engine.second.executedStaleOrder; });
     }
 
-    /// One of the faults at random, which end within 20 s.
+    /// Injects a random fault; pauses end within 20 s.
     void fault()
     {
         const std::size_t dice = randomBelow(random_, 6);
@@ -149,26 +149,26 @@
     std::vector<DesiredEngine> desired;
     std::map<std::string, FakeEngine> engines;
     std::size_t orders = 0;
-    std::size_t mostLoading = 0;
-    std::size_t mostLeaders = 0;
+    std::size_t maxLoading = 0;
+    std::size_t maxLeaders = 0;
     std::size_t lossPercent = 0;
-    Duration slowest = 2ms; ///< Of a message.
-    std::map<std::string, TimePoint> noticedAt; ///< When an engine's load was last announced.
-    Duration shortestNotice = Duration::max(); ///< Between an announcement and its order.
+    Duration maxDelay = 2ms; ///< Of a message.
+    std::map<std::string, TimePoint> noticedAt; ///< When the last load notice of an engine was sent.
+    Duration shortestNotice = Duration::max(); ///< Shortest time between a notice and its order.
 
 private:
     struct Host
     {
         std::unique_ptr<LeaseHolder> lease;
         OrderScheduler scheduler;
-        TimePoint awake;
+        TimePoint pausedUntil;
     };
 
     void onHost(std::size_t i, Duration delay, const std::function<void()> &action)
     {
         time_.later(delay, [this, i, action] {
-            if (hosts_[i].awake > now()) {
-                onHost(i, hosts_[i].awake - now(), action);
+            if (hosts_[i].pausedUntil > now()) {
+                onHost(i, hosts_[i].pausedUntil - now(), action);
             } else {
                 action();
             }
@@ -177,7 +177,7 @@
 
     Duration delay()
     {
-        return Duration(1 + randomBelow(random_, static_cast<std::size_t>(slowest.count())));
+        return Duration(1 + randomBelow(random_, static_cast<std::size_t>(maxDelay.count())));
     }
 
     bool isLost()
@@ -185,7 +185,7 @@
         return randomBelow(random_, 100) < lossPercent;
     }
 
-    void turn(std::size_t i)
+    void runScheduler(std::size_t i)
     {
         Host &host = hosts_[i];
         host.lease->step(now());
@@ -209,7 +209,7 @@
             }
             onHost(i, 1ms, [this, i, order] { send(i, order); });
         }
-        onHost(i, 50ms, [this, i] { turn(i); });
+        onHost(i, 50ms, [this, i] { runScheduler(i); });
     }
 
     void send(std::size_t i, const Order &order)
@@ -223,7 +223,7 @@
             return;
         }
         time_.later(delay(), [this, i, order] {
-            const OrderOutcome outcome = engines[order.target].follow(order, now());
+            const OrderOutcome outcome = engines[order.target].execute(order, now());
             if (!isLost()) {
                 onHost(i, delay(), [this, i, order, outcome] { hosts_[i].scheduler.onOutcome(order, outcome, now()); });
             }
@@ -234,8 +234,8 @@
     {
         const auto loading = std::count_if(engines.begin(), engines.end(), [this](const auto &engine) { return now() < engine.second.loadedAt; });
         const auto leaders = std::count_if(hosts_.begin(), hosts_.end(), [this](const Host &host) { return host.lease->isHeld(now()); });
-        mostLoading = std::max(mostLoading, static_cast<std::size_t>(loading));
-        mostLeaders = std::max(mostLeaders, static_cast<std::size_t>(leaders));
+        maxLoading = std::max(maxLoading, static_cast<std::size_t>(loading));
+        maxLeaders = std::max(maxLeaders, static_cast<std::size_t>(leaders));
     }
 
     VirtualTime time_{1h};
@@ -243,7 +243,7 @@
     std::vector<Host> hosts_;
 };
 
-/// A leader in the hands of the test, with all engines read and as wanted but the first, which is empty.
+/// A leader driven by the test. All engines have been read and are in their desired state, except the first, which is empty.
 struct Leader
 {
     explicit Leader(std::size_t engineCount)
@@ -277,18 +277,18 @@
 
 BOOST_AUTO_TEST_SUITE(OrderSchedulerTest)
 
-BOOST_AUTO_TEST_CASE(enginesEndAsWantedWhateverFails)
+BOOST_AUTO_TEST_CASE(enginesReachTheDesiredStateDespiteFaults)
 {
-    // Hosts are paused, the store goes down or loses its answers, orders and their answers get lost or come seconds
-    // late, engines come back empty and tickets change the version, all at once. An engine left with old weights would
-    // serve old figures, and one that follows a late order would go back to them.
+    // Hosts are paused, the store fails or its answers are lost, orders and their answers are lost or delayed by seconds, engines restart
+    // empty and tickets change the version, all at the same time. An engine left with old weights would serve outdated results, and one
+    // that executes a late order would revert to them.
     constexpr std::uint64_t seeds = 400;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         OrderOptions options;
         options.loadNotice = seed % 4 < 2 ? Duration::zero() : Duration(180ms);
         Deployment deployment(3, 8, seed, options);
         deployment.lossPercent = seed % 3 * 10;
-        deployment.slowest = seed % 2 == 0 ? Duration(2s) : Duration(2ms);
+        deployment.maxDelay = seed % 2 == 0 ? Duration(2s) : Duration(2ms);
         for (int fault = 0; fault < 40; ++fault) {
             deployment.run(2s);
             deployment.fault();
@@ -297,25 +297,25 @@
         deployment.store.losesAnswers = false;
         deployment.lossPercent = 0;
         deployment.run(150s);
-        BOOST_REQUIRE_MESSAGE(deployment.isAsWanted(), "seed " << seed << " leaves an engine otherwise");
-        BOOST_REQUIRE_MESSAGE(deployment.mostLeaders == 1, "seed " << seed << " has " << deployment.mostLeaders << " leaders");
-        BOOST_REQUIRE_MESSAGE(!deployment.wasOvertaken(), "seed " << seed << ": an engine followed an older order");
-        BOOST_REQUIRE_MESSAGE(deployment.mostLoading <= 3, "seed " << seed << ": " << deployment.mostLoading << " loads at once");
+        BOOST_REQUIRE_MESSAGE(deployment.isInDesiredState(), "seed " << seed << " leaves an engine in another state");
+        BOOST_REQUIRE_MESSAGE(deployment.maxLeaders == 1, "seed " << seed << " has " << deployment.maxLeaders << " leaders");
+        BOOST_REQUIRE_MESSAGE(!deployment.executedStaleOrder(), "seed " << seed << ": an engine executed an older order");
+        BOOST_REQUIRE_MESSAGE(deployment.maxLoading <= 3, "seed " << seed << ": " << deployment.maxLoading << " loads at once");
         BOOST_REQUIRE_MESSAGE(deployment.shortestNotice >= options.loadNotice, "seed " << seed << ": an engine was ordered to load too soon");
     }
 }
 
-BOOST_AUTO_TEST_CASE(threeLoadAtOnceAndAllAreDoneSoon)
+BOOST_AUTO_TEST_CASE(atMostThreeEnginesLoadAtOnce)
 {
-    // A ticket changes the version of all engines. Were all to load at once the weight store would slow every one down.
+    // A ticket changes the version of all engines. If all loaded at once, the weight store would slow every load down.
     Deployment deployment(1, 18);
     deployment.run(20s);
-    BOOST_TEST(deployment.isAsWanted());
-    BOOST_TEST(deployment.mostLoading == 3);
+    BOOST_TEST(deployment.isInDesiredState());
+    BOOST_TEST(deployment.maxLoading == 3);
     deployment.setVersion("v2");
     deployment.run(10s);
-    BOOST_TEST(deployment.isAsWanted());
-    BOOST_TEST(deployment.mostLoading == 3);
+    BOOST_TEST(deployment.isInDesiredState());
+    BOOST_TEST(deployment.maxLoading == 3);
     for (const auto &[name, engine] : deployment.engines) {
         BOOST_TEST(engine.loads == 2, name << " loaded " << engine.loads << " times");
     }
@@ -323,25 +323,25 @@
 
 BOOST_AUTO_TEST_CASE(aLoadIsAnnouncedBeforeItIsOrdered)
 {
-    // Long prompts wait in every engine when new weights are named. What waits in an engine that is told to load is declined, goes to
-    // another that has its turn next, and its caller waits a second for nothing. With the notice nothing new is sent there, and what
-    // waits has begun by the time of the order.
+    // Long prompts wait in every engine when new weights are released. Requests that wait in an engine when it is ordered to load are
+    // declined and sent to another engine, which may load next, so that their callers lose a second. After a notice no new requests are
+    // sent to the engine, and the waiting ones have started by the time of the order.
     OrderOptions options;
     options.loadNotice = 180ms;
     Deployment deployment(1, 18, 0, options);
     deployment.run(20s);
     deployment.setVersion("v2");
     deployment.run(8s);
-    BOOST_TEST(deployment.isAsWanted());
+    BOOST_TEST(deployment.isInDesiredState());
     BOOST_TEST(deployment.noticedAt.size() == 18U);
     BOOST_TEST(toMillis(deployment.shortestNotice) >= 180);
-    BOOST_TEST(deployment.mostLoading == 3);
+    BOOST_TEST(deployment.maxLoading == 3);
 }
 
 BOOST_AUTO_TEST_CASE(onlyEnginesThatCheckTokensAreOrderedAtOnce)
 {
-    // The leader before may have sent an order just before its lease lapsed. An engine that does not check tokens would
-    // follow it after ours.
+    // The previous leader may have sent an order just before its lease expired. An engine that does not check fencing tokens could
+    // execute it after an order of the new leader.
     Deployment deployment(1, 2);
     deployment.run(11s);
     BOOST_TEST(deployment.engines["e0"].loads == 1);
@@ -350,10 +350,10 @@
     BOOST_TEST(deployment.engines["e1"].loads == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aPausedLeaderWakesAndSendsNothing)
+BOOST_AUTO_TEST_CASE(aLeaderSendsNothingAfterAPause)
 {
-    // A leader is paused with orders in its hands, its lease lapses and another host leads. On waking it would undo what
-    // the new leader has ordered since.
+    // A leader is paused while it has orders to send, its lease expires and another host becomes leader. After the pause it must not
+    // revert what the new leader has ordered since.
     Deployment deployment(2, 4);
     deployment.run(30s);
     const std::size_t first = deployment.leader();
@@ -363,12 +363,12 @@
     BOOST_TEST(deployment.leader() == 1 - first);
     deployment.run(50s);
     BOOST_TEST(deployment.leader() == 1 - first);
-    BOOST_TEST(deployment.mostLeaders == 1);
+    BOOST_TEST(deployment.maxLeaders == 1);
 }
 
-BOOST_AUTO_TEST_CASE(anOrderIsLookedAtOnceMoreBeforeItLeaves)
+BOOST_AUTO_TEST_CASE(anOrderIsCheckedAgainBeforeItIsSent)
 {
-    // Between decision and sending the host is paused, its lease ends, or a ticket wants something else.
+    // Between the decision and the sending, the host is paused, its lease ends, or a ticket changes the desired state.
     Leader paused(4);
     const Order old = paused.firstOrder(paused.start);
     BOOST_TEST(paused.scheduler.maySend(old, paused.lease, paused.start));
@@ -376,16 +376,16 @@
     Leader lapsing(4);
     const Order last = lapsing.firstOrder(lapsing.start + 7900ms);
     BOOST_TEST(!lapsing.scheduler.maySend(last, lapsing.lease, lapsing.start + 8100ms));
-    Leader overruled(4);
-    const Order stale = overruled.firstOrder(overruled.start);
-    overruled.scheduler.setDesired(desiredEngines(4, "v2"), overruled.start);
-    BOOST_TEST(!overruled.scheduler.maySend(stale, overruled.lease, overruled.start));
+    Leader outdated(4);
+    const Order stale = outdated.firstOrder(outdated.start);
+    outdated.scheduler.setDesired(desiredEngines(4, "v2"), outdated.start);
+    BOOST_TEST(!outdated.scheduler.maySend(stale, outdated.lease, outdated.start));
 }
 
-BOOST_AUTO_TEST_CASE(aReadAskedBeforeAnOrderTellsNothingOfIt)
+BOOST_AUTO_TEST_CASE(aReadRequestedBeforeAnOrderIsIgnored)
 {
-    // The answer to an earlier read comes after the order's. Taken for the present state it would have the engine load
-    // the same weights again.
+    // The answer to an earlier read arrives after the answer to the order. If it counted as the current state, the engine would have to
+    // load the same weights again.
     Leader leader(2);
     leader.scheduler.onOutcome(leader.firstOrder(leader.start), OrderOutcome::Accepted, leader.start);
     leader.scheduler.plan(leader.lease, leader.start);
@@ -402,9 +402,9 @@
     BOOST_TEST(std::count(next.reads.begin(), next.reads.end(), "e0") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(anOrderWhoseAnswerWasLostIsNotRepeatedBlindly)
+BOOST_AUTO_TEST_CASE(anOrderWithALostAnswerIsNotRepeatedBeforeARead)
 {
-    // The engine loads, but its answer gets lost. A second order would make it load again and drop its warm cache.
+    // An engine loads, but its answer is lost. A second order would make it load again and lose its warm cache.
     Deployment deployment(1, 2);
     deployment.lossPercent = 0;
     deployment.run(14s);
@@ -413,19 +413,19 @@
     deployment.run(60s);
     deployment.lossPercent = 0;
     deployment.run(60s);
-    BOOST_TEST(deployment.isAsWanted());
+    BOOST_TEST(deployment.isInDesiredState());
     for (const auto &[name, engine] : deployment.engines) {
         BOOST_TEST(engine.loads == 2, name << " loaded " << engine.loads << " times");
     }
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatRevertsIsOrderedAgainButNotWithoutEnd)
+BOOST_AUTO_TEST_CASE(anEngineThatRevertsIsOrderedAgainWithBackoff)
 {
-    // An engine falls back to its old role each time, perhaps by a rule of its own. It is ordered again, ever more
-    // rarely, for each order interrupts its work.
+    // An engine reverts to its old role each time, perhaps by a rule of its own. Each order interrupts its work, so the order is
+    // repeated with increasing delays.
     Deployment deployment(1, 1);
     deployment.run(5s);
-    BOOST_TEST(deployment.isAsWanted());
+    BOOST_TEST(deployment.isInDesiredState());
     const std::size_t before = deployment.orders;
     for (int second = 0; second < 120; ++second) {
         deployment.engines["e0"].state.role = "prefill";
@@ -434,12 +434,12 @@
     BOOST_TEST(deployment.orders > before + 3);
     BOOST_TEST(deployment.orders < before + 12);
     deployment.run(60s);
-    BOOST_TEST(deployment.isAsWanted());
+    BOOST_TEST(deployment.isInDesiredState());
 }
 
 BOOST_AUTO_TEST_CASE(aNewLeaderCountsLoadsItDidNotStart)
 {
-    // The leader before started loads and died. Its successor would start three more beside them.
+    // The previous leader started loads and died. Its successor must not start three more at the same time.
     Leader leader(6);
     OrderScheduler &scheduler = leader.scheduler;
     const LeaseHolder &lease = leader.lease;
@@ -457,7 +457,7 @@
 
 BOOST_AUTO_TEST_CASE(aFencedOrderEndsTheLeadership)
 {
-    // Another host leads already, and this one notices it only by an engine that has seen the newer token.
+    // Another host is leader already, and this host learns it only from an engine that has seen a newer fencing token.
     Deployment deployment(1, 2);
     deployment.engines["e0"].newestToken = 1'000;
     deployment.run(1500ms);
