--- a/benchmarks/decision/bench_placing.cpp
+++ b/benchmarks/decision/bench_placing.cpp
@@ -53,10 +53,10 @@
 void applyCacheEvents(benchmark::State &state)
 {
     constexpr std::size_t batch = 256;
-    constexpr std::size_t viewBlocks = 1'000'000;
+    constexpr std::size_t cacheViewBlocks = 1'000'000;
     const auto engines = static_cast<std::size_t>(state.range(0));
-    CacheView view(viewBlocks);
-    const std::vector<BlockHash> blocks = randomBlocks(viewBlocks);
+    CacheView view(cacheViewBlocks);
+    const std::vector<BlockHash> blocks = randomBlocks(cacheViewBlocks);
     std::vector<std::uint64_t> sequences(engines, 0);
     std::vector<CacheEvent> events(batch);
     std::size_t next = 0;
@@ -64,8 +64,9 @@
     for (auto _ : state) {
         for (std::size_t i = 0; i < batch; ++i) {
             const bool isEviction = i % 4 == 3;
-            events[i] = {blocks[(next + (isEviction ? viewBlocks / 2 : 0)) % viewBlocks], isEviction ? CacheEvent::Kind::Evicted : CacheEvent::Kind::Stored};
-            next = (next + 1) % viewBlocks;
+            events[i] = {blocks[(next + (isEviction ? cacheViewBlocks / 2 : 0)) % cacheViewBlocks],
+                         isEviction ? CacheEvent::Kind::Evicted : CacheEvent::Kind::Stored};
+            next = (next + 1) % cacheViewBlocks;
         }
         view.applyEvents(static_cast<EngineIndex>(engine), 1, sequences[engine], events);
         sequences[engine] += batch;
@@ -78,16 +79,16 @@
 /// Bytes a cached block, with the view as full as it is meant to be and one holder a block, the worst case.
 void fillCacheView(benchmark::State &state)
 {
-    constexpr std::size_t viewBlocks = 1'000'000;
-    const std::vector<BlockHash> blocks = randomBlocks(viewBlocks);
+    constexpr std::size_t cacheViewBlocks = 1'000'000;
+    const std::vector<BlockHash> blocks = randomBlocks(cacheViewBlocks);
     double bytes = 0;
     for (auto _ : state) {
-        CacheView view(viewBlocks);
+        CacheView view(cacheViewBlocks);
         view.learn(0, blocks);
         bytes = static_cast<double>(view.tableBytes()) / static_cast<double>(view.heldBlocks());
     }
     state.counters["bytes_per_block"] = bytes;
-    state.SetItemsProcessed(static_cast<std::int64_t>(state.iterations() * viewBlocks));
+    state.SetItemsProcessed(static_cast<std::int64_t>(state.iterations() * cacheViewBlocks));
 }
 
 /// A placement over `engineCount` engines whose view is full of other prefixes and knows each of `chains` on a few engines.
@@ -126,7 +127,7 @@
         isHeld = !decision;
         if (isDispatched && decision) {
             const DispatchId id = placement.onDispatched(request, *decision, now);
-            const TimePoint firstToken = now + fromSeconds(decision->expectedFirstToken);
+            const TimePoint firstToken = now + fromSeconds(decision->expectedFirstTokenSeconds);
             placement.onFirstToken(id, std::nullopt, firstToken);
             placement.onFinished(id, firstToken + std::chrono::milliseconds(800));
         }
--- a/decision/cache_view.cpp
+++ b/decision/cache_view.cpp
@@ -33,7 +33,7 @@
 
 CacheView::CacheView(std::size_t blocks)
     : buckets_(std::max<std::size_t>(1, blocks * entriesPerTenBlocks / 10 / entriesPerBucket))
-    , engines_(engineLimit)
+    , engines_(maxEngines)
     , storesPerStamp_(std::max<std::size_t>(1, blocks / stampsPerTurnover))
 {
 }
@@ -111,7 +111,7 @@
 
 std::size_t CacheView::findHolders(std::span<const BlockHash> chain, std::span<HeldPrefix> found) const
 {
-    std::bitset<engineLimit> seen;
+    std::bitset<maxEngines> seen;
     std::size_t count = 0;
     std::size_t end = 0;
     for (std::size_t depth = chain.size(); depth > end; --depth) {
--- a/decision/cache_view.h
+++ b/decision/cache_view.h
@@ -15,7 +15,7 @@
 using EngineIndex = std::uint16_t;
 
 /// Most engines that one host can know; an index takes 11 bits of a cache view entry. Twice the size built towards.
-inline constexpr std::size_t engineLimit = 2048;
+inline constexpr std::size_t maxEngines = 2048;
 
 /// One change of an engine's cache.
 struct CacheEvent
--- a/decision/dispatch_table.h
+++ b/decision/dispatch_table.h
@@ -20,7 +20,7 @@
     std::uint32_t epoch = 0; ///< Of the engine: tells it from an earlier one that had the same index.
     TimePoint sentAt = {};
     TimePoint firstTokenAt = {};
-    double usualFirstToken = 0; ///< Seconds from `sentAt` in which the first token was expected, were the engine not slow.
+    double nominalFirstTokenSeconds = 0; ///< Seconds from `sentAt` in which the first token was expected, were the engine not slow.
     std::uint32_t expectedCachedTokens = 0;
     bool isAnswered = false; ///< Its first token has come.
 };
--- a/decision/engine_health.cpp
+++ b/decision/engine_health.cpp
@@ -32,7 +32,7 @@
 } // namespace
 
 EngineHealth::EngineHealth()
-    : records_(engineLimit)
+    : records_(maxEngines)
     , probeInterval_(probeInterval)
 {
 }
--- a/decision/cache_budget.cpp
+++ b/decision/eviction_estimator.cpp
@@ -1,14 +1,14 @@
-#include "decision/cache_budget.h"
+#include "decision/eviction_estimator.h"
 
 namespace Lovageloft
 {
 
-void CacheBudget::setCapacity(double capacityTokens)
+void EvictionEstimator::setCapacity(double capacityTokens)
 {
     capacity_ = capacityTokens;
 }
 
-void CacheBudget::onSent(std::span<const BlockHash> chain, double tokens, std::vector<BlockHash> &dropped)
+void EvictionEstimator::onSent(std::span<const BlockHash> chain, double tokens, std::vector<BlockHash> &dropped)
 {
     if (capacity_ <= 0) {
         return;
@@ -32,7 +32,7 @@
     }
 }
 
-void CacheBudget::clear()
+void EvictionEstimator::clear()
 {
     prefixes_.clear();
     byLast_.clear();
--- a/decision/cache_budget.h
+++ b/decision/eviction_estimator.h
@@ -17,15 +17,15 @@
 /// five seconds. Without this a host believes for minutes in a prefix that has long been evicted, sends its requests to that
 /// engine and has no copy kept elsewhere. Engines evict what was used least recently, so a prefix is gone once prompts of the
 /// engine's whole memory came after its last use. Not thread-safe.
-class CacheBudget
+class EvictionEstimator
 {
 public:
-    CacheBudget() = default;
+    EvictionEstimator() = default;
     // Its index points into its list, which a move takes along and a copy doesn't.
-    CacheBudget(const CacheBudget &) = delete;
-    CacheBudget &operator=(const CacheBudget &) = delete;
-    CacheBudget(CacheBudget &&) = default;
-    CacheBudget &operator=(CacheBudget &&) = default;
+    EvictionEstimator(const EvictionEstimator &) = delete;
+    EvictionEstimator &operator=(const EvictionEstimator &) = delete;
+    EvictionEstimator(EvictionEstimator &&) = default;
+    EvictionEstimator &operator=(EvictionEstimator &&) = default;
 
     /// `capacityTokens`: the engine's memory; 0 for not known, then nothing is ever dropped.
     void setCapacity(double capacityTokens);
--- a/decision/placement.cpp
+++ b/decision/placement.cpp
@@ -34,9 +34,9 @@
 
 Placement::Placement(const PlacementPolicy &policy)
     : policy_(policy)
-    , view_(policy.viewBlocks)
+    , view_(policy.cacheViewBlocks)
     , heat_(policy.splitLoad)
-    , heldScratch_(engineLimit)
+    , heldScratch_(maxEngines)
 {
 }
 
@@ -83,7 +83,7 @@
     return engines_[engine].name;
 }
 
-void Placement::setOpen(EngineIndex engine, bool isOpen)
+void Placement::setWindowOpen(EngineIndex engine, bool isOpen)
 {
     engines_[engine].isOpen = isOpen;
 }
@@ -132,7 +132,7 @@
     return choice.best;
 }
 
-void Placement::onDispatchedElsewhere(EngineIndex index, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now)
+void Placement::onDispatchedByPeer(EngineIndex index, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now)
 {
     Engine &engine = engines_[index];
     engine.load.dispatched(now, workTokens * engine.prefillSecondsPerToken);
@@ -153,7 +153,7 @@
     const DispatchId id = dispatches_.open({.engine = decision.engine,
                                             .epoch = engine.epoch,
                                             .sentAt = now,
-                                            .usualFirstToken = decision.usualFirstToken,
+                                            .nominalFirstTokenSeconds = decision.nominalFirstTokenSeconds,
                                             .expectedCachedTokens = decision.expectedCachedTokens});
     ++engine.inFlight;
     engine.unanswered.push_back(id);
@@ -164,7 +164,7 @@
         }
         // Noted at once and not with the answer: the next request of the prefix may come before the first has its token.
         view_.learn(decision.engine, chain.blocks);
-        const bool isQuiet = decision.workTokens < policy_.quietTokens;
+        const bool isQuiet = decision.workTokens < policy_.minAnnouncedTokens;
         noteSent(decision.engine, chain.blocks, decision.newTokens * (isQuiet ? policy_.hostCount : 1.0));
         const double outputWork = engine.requestSeconds / std::max(1.0, engine.batchLimit);
         const std::size_t tailTokens = request.promptTokens - std::min<std::size_t>(request.promptTokens, chain.blocks.size() * policy_.blockTokens);
@@ -187,7 +187,7 @@
         return;
     }
     dropAnswered(engine);
-    health_.observe(dispatch->engine, (toSeconds(now - dispatch->sentAt) + fixedSeconds) / (dispatch->usualFirstToken + fixedSeconds), now);
+    health_.observe(dispatch->engine, (toSeconds(now - dispatch->sentAt) + fixedSeconds) / (dispatch->nominalFirstTokenSeconds + fixedSeconds), now);
     if (cachedTokens && dispatch->expectedCachedTokens > 0) {
         const double confirmed = std::min(1.0, static_cast<double>(*cachedTokens) / dispatch->expectedCachedTokens);
         engine.cacheTrust = std::max(leastTrust, engine.cacheTrust + trustWeight * (confirmed - engine.cacheTrust));
@@ -281,7 +281,7 @@
 
 std::optional<EngineIndex> Placement::takeIndex()
 {
-    if (engines_.size() < engineLimit) {
+    if (engines_.size() < maxEngines) {
         engines_.emplace_back();
         return static_cast<EngineIndex>(engines_.size() - 1);
     }
@@ -303,7 +303,7 @@
     engine.isListed = true;
     engine.isServing = status.isServing;
     engine.isRemote = status.isRemote;
-    engine.lastBegin = status.lastBegin;
+    engine.firstTokenDeadline = status.firstTokenDeadline;
     engine.modelVersion = status.modelVersion;
     engine.prefillSecondsPerToken = 1 / std::max(1.0, status.prefillTokensPerSecond);
     engine.batchLimit = status.batchLimit;
@@ -428,7 +428,7 @@
     if (request.promptTokens > localPromptTokens) {
         return 0;
     }
-    return policy_.remoteWait * static_cast<double>(request.bytes) / bytesInPrice;
+    return policy_.remoteWaitPerKilobyte * static_cast<double>(request.bytes) / bytesInPrice;
 }
 
 /// Whether each data centre gets an engine of its own for the prompt's shared part: where computing that part there once more costs less
@@ -483,11 +483,11 @@
     choice.best = PlacementDecision{.engine = index,
                                     .modelVersion = engine.modelVersion,
                                     .expectedCachedTokens = static_cast<std::uint32_t>(held),
-                                    .expectedFirstToken = wait + slowWork,
+                                    .expectedFirstTokenSeconds = wait + slowWork,
                                     .expectedWork = work,
                                     .workTokens = static_cast<std::uint32_t>(work / engine.prefillSecondsPerToken),
                                     .newTokens = request.promptTokens - static_cast<std::uint32_t>(held) + request.outputTokens,
-                                    .usualFirstToken = usualWait + work,
+                                    .nominalFirstTokenSeconds = usualWait + work,
                                     .isProbe = isProbe};
 }
 
@@ -508,7 +508,7 @@
 double Placement::prefillSeconds(const Engine &engine, double held, double missed) const
 {
     const double meanContext = held + missed / 2;
-    const double attention = policy_.attentionTokens > 0 ? meanContext / policy_.attentionTokens : 0;
+    const double attention = policy_.attentionParityTokens > 0 ? meanContext / policy_.attentionParityTokens : 0;
     return missed * engine.prefillSecondsPerToken * (1 + attention);
 }
 
@@ -523,7 +523,7 @@
 /// take is refused at once.
 bool Placement::beginsInTime(const Engine &engine, double firstToken, TimePoint now) const
 {
-    return !engine.lastBegin || now + fromSeconds(policy_.lastBeginFactor * firstToken) < *engine.lastBegin;
+    return !engine.firstTokenDeadline || now + fromSeconds(policy_.firstTokenSafetyFactor * firstToken) < *engine.firstTokenDeadline;
 }
 
 /// Expected seconds until the engine would begin with a prompt sent now.
@@ -550,8 +550,8 @@
     if (oldest == nullptr) {
         return 0;
     }
-    const double late = toSeconds(now - oldest->sentAt) - oldest->usualFirstToken;
-    return late > latenessSeconds && late > latenessRatio * oldest->usualFirstToken ? late : 0;
+    const double late = toSeconds(now - oldest->sentAt) - oldest->nominalFirstTokenSeconds;
+    return late > latenessSeconds && late > latenessRatio * oldest->nominalFirstTokenSeconds ? late : 0;
 }
 
 /// An engine's own progress shows within a second or two that it has become slow, to all hosts. From answers alone each host would
--- a/decision/placement.h
+++ b/decision/placement.h
@@ -12,11 +12,11 @@
 #include "core/clock.h"
 #include "core/random.h"
 #include "core/result_code.h"
-#include "decision/cache_budget.h"
 #include "decision/cache_view.h"
 #include "decision/dispatch_table.h"
 #include "decision/engine_health.h"
 #include "decision/engine_load.h"
+#include "decision/eviction_estimator.h"
 #include "decision/prefix_chain.h"
 #include "decision/prefix_heat.h"
 #include "decision/rendezvous.h"
@@ -40,7 +40,7 @@
     double cacheTokens = 0; ///< Tokens that its memory holds; 0 while not known.
     bool isServing = true; ///< False: it is leaving or loading and gets no new work.
     bool isRemote = false; ///< In another data centre than this host.
-    std::optional<TimePoint> lastBegin = std::nullopt; ///< No request that may begin later is sent to it; not set while it serves without end.
+    std::optional<TimePoint> firstTokenDeadline = std::nullopt; ///< No request that may begin later is sent to it; not set while it serves without end.
 };
 
 /// The prompt's chain under one version of the weights that may answer it.
@@ -66,11 +66,11 @@
     EngineIndex engine = 0;
     ModelVersionId modelVersion = 0;
     std::uint32_t expectedCachedTokens = 0; ///< Prompt tokens that the engine is believed to hold.
-    double expectedFirstToken = 0; ///< Seconds from now, with the engine's slowness.
+    double expectedFirstTokenSeconds = 0; ///< Seconds from now, with the engine's slowness.
     double expectedWork = 0; ///< Seconds of prefill at the engine's usual speed.
     std::uint32_t workTokens = 0; ///< The same in prompt tokens of a short prompt.
     std::uint32_t newTokens = 0; ///< Tokens that it adds to the engine's memory.
-    double usualFirstToken = 0; ///< Seconds from now were the engine not slow; what its health is measured by.
+    double nominalFirstTokenSeconds = 0; ///< Seconds from now were the engine not slow; what its health is measured by.
     bool isProbe = false; ///< Sent to find out whether an ejected engine has recovered.
 };
 
@@ -79,10 +79,10 @@
 /// wait of all engines, and the margin of what the candidate is.
 struct PlacementPolicy
 {
-    std::size_t viewBlocks = 1'500'000; ///< Cached blocks in view; 34 MB.
+    std::size_t cacheViewBlocks = 1'500'000; ///< Cached blocks in view; 34 MB.
     std::uint32_t blockTokens = prefixBlockTokens; ///< Tokens that one block of a chain counts for.
-    std::uint32_t quietTokens = 0; ///< Requests that compute fewer tokens are not told to other hosts, which send as many.
-    double attentionTokens = 0; ///< Context at which attention costs a prompt token as much as the weights do; 0: attention costs nothing.
+    std::uint32_t minAnnouncedTokens = 0; ///< Requests that compute fewer tokens are not told to other hosts, which send as many.
+    double attentionParityTokens = 0; ///< Context at which attention costs a prompt token as much as the weights do; 0: attention costs nothing.
     double hostCount = 1; ///< Hosts that decide likewise; the work seen here times this is the fleet's.
     double splitLoad = 0.3; ///< Engine-seconds a second that one engine is given of a hot prefix; see PrefixHeat.
     std::size_t randomCandidates = 2;
@@ -92,8 +92,8 @@
     double secondMargin = 1.0; ///< Of other winners after the first.
     double strayMargin = 2.0; ///< Of engines that don't win the prefix's hash: a restarted host would not look there.
     double fallbackMargin = 2.0; ///< Of all other engines, weighed only once no candidate can begin with the request.
-    double remoteWait = 0; ///< Seconds of wait that 1,000 bytes sent to another data centre are worth.
-    double lastBeginFactor = 2.0; ///< Times the expected time to the first token: what a request is given where it must begin in time.
+    double remoteWaitPerKilobyte = 0; ///< Seconds of wait that 1,000 bytes sent to another data centre are worth.
+    double firstTokenSafetyFactor = 2.0; ///< Times the expected time to the first token: what a request is given where it must begin in time.
     double openWait = 3.0; ///< Seconds of expected wait up to which an engine with room in its window is used.
     double closedWait = 1.0; ///< The same for one without room.
     double holdSlack = 0.3; ///< Square seconds: over the mean wait, by how much dearer than the best an engine may be that can begin now.
@@ -111,7 +111,7 @@
 
     /// Replaces the list of engines. An engine that is still listed keeps its index and what is known of it; one that changed
     /// its version or incarnation has lost its cache. What an engine that is no longer listed held is dropped at once.
-    /// False if more than engineLimit names were in use at once; the rest is then left out.
+    /// False if more than maxEngines names were in use at once; the rest is then left out.
     bool setEngines(std::span<const EngineStatus> engines);
 
     /// The index of a listed engine.
@@ -122,7 +122,7 @@
     /// Says whether an engine's window of running requests has room; at first all have. One without room still gets requests
     /// while it would begin with them within PlacementPolicy::closedWait: what its cache holds costs it hardly anything, while
     /// sending it elsewhere costs another engine the whole prefix and the blocks that it evicts for it.
-    void setOpen(EngineIndex engine, bool isOpen);
+    void setWindowOpen(EngineIndex engine, bool isOpen);
 
     /// How many hosts decide likewise.
     void setHostCount(std::size_t count);
@@ -139,7 +139,7 @@
 
     /// Notes that another host sent a request to the engine: what it has to compute in prompt tokens of a short prompt, and the blocks that it holds then.
     /// Without it hosts that see an engine idle at the same moment all send their long prompts there.
-    void onDispatchedElsewhere(EngineIndex engine, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now);
+    void onDispatchedByPeer(EngineIndex engine, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now);
 
     /// Notes the first token; `cachedTokens` is the engine's own count where the answer gives one.
     void onFirstToken(DispatchId dispatch, std::optional<std::uint32_t> cachedTokens, TimePoint now);
@@ -183,9 +183,9 @@
         bool isServing = false;
         bool isRemote = false;
         bool isOpen = true;
-        std::optional<TimePoint> lastBegin = std::nullopt;
+        std::optional<TimePoint> firstTokenDeadline = std::nullopt;
         EngineLoad load = {};
-        CacheBudget cache = {};
+        EvictionEstimator cache = {};
         std::deque<DispatchId> unanswered = {}; // In the order sent; those already answered are taken off when they come to the front.
     };
 
--- a/decision/prefix_chain.cpp
+++ b/decision/prefix_chain.cpp
@@ -31,7 +31,7 @@
 
 void digestBlocks(std::string_view prompt, std::vector<BlockHash> &digests)
 {
-    const std::size_t count = std::min(prompt.size() / prefixBlockBytes, prefixChainLimit);
+    const std::size_t count = std::min(prompt.size() / prefixBlockBytes, maxPrefixChainBlocks);
     digests.resize(count);
     const char *block = prompt.data();
     for (BlockHash &digest : digests) {
--- a/decision/prefix_chain.h
+++ b/decision/prefix_chain.h
@@ -21,7 +21,7 @@
 inline constexpr std::uint32_t prefixBlockTokens = 1024;
 
 /// Longest chain in blocks (1 MB of text). Bounds the time that one huge prompt takes from the deciding thread.
-inline constexpr std::size_t prefixChainLimit = 256;
+inline constexpr std::size_t maxPrefixChainBlocks = 256;
 
 /// Whose cache entries a chain can match. Another team has another salt and other weights another version, so that
 /// their chains differ from the first block on.
@@ -35,7 +35,7 @@
 /// The seed of all chains in a scope.
 BlockHash prefixSeed(const PrefixScope &scope);
 
-/// Replaces `digests` by the hashes of the whole blocks of `prompt`, up to prefixChainLimit. A last piece shorter than a
+/// Replaces `digests` by the hashes of the whole blocks of `prompt`, up to maxPrefixChainBlocks. A last piece shorter than a
 /// block is left out, as engines cache whole blocks only. The digests belong to no scope: while two versions of
 /// the weights are in service the text is read once and chained twice.
 void digestBlocks(std::string_view prompt, std::vector<BlockHash> &digests);
--- a/decision/prompt_parts.cpp
+++ b/decision/prompt_parts.cpp
@@ -13,7 +13,7 @@
     std::uint64_t tokens = 0;
     for (const PromptPart &part : parts) {
         tokens += part.tokens;
-        while (digests.size() < prefixChainLimit && (digests.size() + 1) * partBlockTokens <= tokens) {
+        while (digests.size() < maxPrefixChainBlocks && (digests.size() + 1) * partBlockTokens <= tokens) {
             const std::array<std::uint64_t, 2> block{part.hash, digests.size()};
             digests.push_back(XXH3_64bits(block.data(), sizeof block));
         }
--- a/decision/request_scheduler.cpp
+++ b/decision/request_scheduler.cpp
@@ -35,7 +35,7 @@
         status.incarnation = engine.incarnation;
         status.isServing = engine.isServing;
         status.isRemote = engine.isRemote;
-        status.lastBegin = engine.lastBegin;
+        status.firstTokenDeadline = engine.firstTokenDeadline;
         status.prefillTokensPerSecond = engine.prefillTokensPerSecond;
         status.batchLimit = engine.batchLimit;
         status.cacheTokens = engine.cacheTokens;
@@ -203,7 +203,7 @@
     const PlacementRequest placed = placementRequest(request);
     for (auto &[index, engine] : engines_) {
         if (engine.model == queued.model) {
-            placement_.setOpen(index, engine.window.canStart(1));
+            placement_.setWindowOpen(index, engine.window.canStart(1));
         }
     }
     choice.engine = placement_.place(placed, now, random, choice.reason);
@@ -255,7 +255,7 @@
     Engine &engine = engines_[decision.engine];
     inFlight_[queued.id] = {dispatch, decision.engine, engine.serial, engine.window.start(missed, now)};
     SchedulerAssignment assignment{
-        queued.id, std::string(placement_.engineName(decision.engine)), decision.expectedCachedTokens, decision.expectedFirstToken, 0, 0, {}, {}};
+        queued.id, std::string(placement_.engineName(decision.engine)), decision.expectedCachedTokens, decision.expectedFirstTokenSeconds, 0, 0, {}, {}};
     assignment.workTokens = decision.workTokens;
     assignment.newTokens = decision.newTokens;
     for (const VersionedChain &chain : placed.chains) {
@@ -289,11 +289,11 @@
     return {id, std::move(reason), retryAfter};
 }
 
-void RequestScheduler::onDispatchedElsewhere(
+void RequestScheduler::onDispatchedByPeer(
     std::string_view engine, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now)
 {
     if (const auto index = placement_.findEngine(engine)) {
-        placement_.onDispatchedElsewhere(*index, workTokens, newTokens, blocks, now);
+        placement_.onDispatchedByPeer(*index, workTokens, newTokens, blocks, now);
     }
 }
 
--- a/decision/request_scheduler.h
+++ b/decision/request_scheduler.h
@@ -31,7 +31,7 @@
     double cacheTokens = 0; ///< Tokens that its memory holds; 0 while not known.
     bool isServing = true;
     bool isRemote = false; ///< In another data centre than this host.
-    std::optional<TimePoint> lastBegin = std::nullopt; ///< No request that may begin later is sent to it; not set while it serves without end.
+    std::optional<TimePoint> firstTokenDeadline = std::nullopt; ///< No request that may begin later is sent to it; not set while it serves without end.
 };
 
 /// A request that needs an engine.
@@ -61,7 +61,7 @@
     RequestId id{};
     std::string engine;
     std::uint32_t expectedCachedTokens = 0;
-    double expectedFirstToken = 0; ///< Seconds from now.
+    double expectedFirstTokenSeconds = 0; ///< Seconds from now.
     std::uint32_t workTokens = 0; ///< What the engine has to compute, in prompt tokens of a short prompt.
     std::uint32_t newTokens = 0; ///< That it adds to the engine's memory.
     std::vector<BlockHash> blocks; ///< The prompt's chain for this engine's weights.
@@ -126,7 +126,7 @@
     void drain();
 
     /// Another host sent a request to an engine.
-    void onDispatchedElsewhere(std::string_view engine, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now);
+    void onDispatchedByPeer(std::string_view engine, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now);
 
     void onFirstToken(RequestId id, std::optional<std::uint32_t> cachedTokens, TimePoint now);
     void onEnded(RequestId id, SchedulerEnd end, TimePoint now);
--- a/gateway/fleet_link.cpp
+++ b/gateway/fleet_link.cpp
@@ -175,7 +175,7 @@
 
 void FleetLink::announceDispatch(const SchedulerAssignment &assignment)
 {
-    if (assignment.workTokens < quietTokens) {
+    if (assignment.workTokens < minAnnouncedTokens) {
         return;
     }
     peers_.broadcast(DispatchNotice{assignment.engine, assignment.workTokens, assignment.newTokens, assignment.blocks});
@@ -183,7 +183,7 @@
 
 void FleetLink::onDispatchNotice(const DispatchNotice &notice)
 {
-    gateway_.dispatch().onDispatchedElsewhere(notice);
+    gateway_.dispatch().onDispatchedByPeer(notice);
 }
 
 void FleetLink::onLoadingNotice(const LoadingNotice &notice)
--- a/gateway/fleet_link.h
+++ b/gateway/fleet_link.h
@@ -19,7 +19,7 @@
 class Gateway;
 
 /// Requests that compute less than one cache block are not told to other hosts: they keep an engine busy for 11 ms at most.
-inline constexpr std::uint32_t quietTokens = 1'024;
+inline constexpr std::uint32_t minAnnouncedTokens = 1'024;
 
 /// This host among the others: what it tells them and hears from them in datagrams, and the teams' rates that it keeps with them. For the
 /// event loop only.
--- a/gateway/request_dispatch.cpp
+++ b/gateway/request_dispatch.cpp
@@ -17,14 +17,14 @@
 
 /// The scheduler's view of caches: 18 engines of 150,000 tokens hold 10,500 blocks, 90 of 290,000 hold 100,000, of which the least
 /// recently used are left out; 22 bytes each.
-constexpr std::size_t viewBlocks = 65'536;
+constexpr std::size_t cacheViewBlocks = 65'536;
 
 /// Long enough for the work of a route's whole timeout, which bounds the wait by itself.
 constexpr Duration longestQueueWait = std::chrono::seconds(60);
 
 /// For a model of eight billion parameters: two operations a parameter and token, against four a token of context in each of 32 layers
 /// of width 4,096.
-constexpr double attentionTokens = 30'000;
+constexpr double attentionParityTokens = 30'000;
 
 /// Engines drawn at random for each request. While more than half of the engines compute long prompts, two draws find only such ones
 /// for three in ten short requests; six for one in thirty.
@@ -32,16 +32,16 @@
 
 /// Seconds of wait that 1,000 bytes to another data centre are worth. Enough to decide between engines that are both idle: short work
 /// then stays in its data centre, which saves an eighth of the bytes between data centres; nobody waits longer for it.
-constexpr double remoteWait = 0.002;
+constexpr double remoteWaitPerKilobyte = 0.002;
 
 PlacementPolicy placementPolicy()
 {
     PlacementPolicy policy;
-    policy.viewBlocks = viewBlocks;
+    policy.cacheViewBlocks = cacheViewBlocks;
     policy.blockTokens = partBlockTokens;
-    policy.attentionTokens = attentionTokens;
-    policy.quietTokens = quietTokens;
-    policy.remoteWait = remoteWait;
+    policy.attentionParityTokens = attentionParityTokens;
+    policy.minAnnouncedTokens = minAnnouncedTokens;
+    policy.remoteWaitPerKilobyte = remoteWaitPerKilobyte;
     policy.randomCandidates = randomCandidates;
     return policy;
 }
@@ -150,9 +150,9 @@
     requests_.erase(id);
 }
 
-void RequestDispatch::onDispatchedElsewhere(const DispatchNotice &notice)
+void RequestDispatch::onDispatchedByPeer(const DispatchNotice &notice)
 {
-    scheduler_.onDispatchedElsewhere(notice.engine, notice.workTokens, notice.newTokens, notice.blocks, BootClock::now());
+    scheduler_.onDispatchedByPeer(notice.engine, notice.workTokens, notice.newTokens, notice.blocks, BootClock::now());
 }
 
 void RequestDispatch::onTargetLoad(std::string_view engineName, const Target &target, const TargetLoad &load)
--- a/gateway/request_dispatch.h
+++ b/gateway/request_dispatch.h
@@ -66,7 +66,7 @@
     void forget(RequestId id);
 
     /// Another host sent a long prompt to an engine.
-    void onDispatchedElsewhere(const DispatchNotice &notice);
+    void onDispatchedByPeer(const DispatchNotice &notice);
 
     /// What a target said of its load.
     void onTargetLoad(std::string_view engineName, const Target &target, const TargetLoad &load);
--- a/gateway/routed_request.cpp
+++ b/gateway/routed_request.cpp
@@ -147,7 +147,7 @@
     const auto self = shared_from_this();
     targetId_ = assignment.engine;
     expectedCached_ = assignment.expectedCachedTokens;
-    comesLate_ = BootClock::now() + fromSeconds(assignment.expectedFirstToken) > startedAt_ + intake_.route()->latencyTarget;
+    comesLate_ = BootClock::now() + fromSeconds(assignment.expectedFirstTokenSeconds) > startedAt_ + intake_.route()->latencyTarget;
     holder_ = assignment.holder;
     Reason reason;
     if (!intake_.checkAgain(reason)) {
--- a/gateway/target.h
+++ b/gateway/target.h
@@ -77,7 +77,7 @@
 }
 
 /// How long after new weights were named older ones may be used, given the time by which no request may begin on them. What is sent
-/// last is expected to begin at once; the rest is for waits that can't be foreseen. See PlacementPolicy::lastBeginFactor for longer ones.
+/// last is expected to begin at once; the rest is for waits that can't be foreseen. See PlacementPolicy::firstTokenSafetyFactor for longer ones.
 constexpr Duration useOfOlderWeights(Duration deadline)
 {
     constexpr int parts = 17;
--- a/gateway/target_directory.cpp
+++ b/gateway/target_directory.cpp
@@ -237,8 +237,8 @@
             copy.name = id + nameSeparator + model.name;
             copy.model = target.service + nameSeparator + model.name;
             copy.weightsVersion = std::to_string(weightsOf(target, model.name));
-            copy.lastBegin = endOfUse(target, model.name);
-            copy.isServing = copy.isServing && (!copy.lastBegin || now < *copy.lastBegin);
+            copy.firstTokenDeadline = endOfUse(target, model.name);
+            copy.isServing = copy.isServing && (!copy.firstTokenDeadline || now < *copy.firstTokenDeadline);
             engines.push_back(std::move(copy));
         }
     }
--- a/tests/decision/replay/placing_policy.cpp
+++ b/tests/decision/replay/placing_policy.cpp
@@ -241,7 +241,7 @@
     std::optional<Placed> place(const PlacementRequest &request, std::span<const char> isOpen, TimePoint now, Random &random) override
     {
         for (std::size_t engine = 0; engine < isOpen.size(); ++engine) {
-            placement_.setOpen(static_cast<EngineIndex>(engine), isOpen[engine] != 0);
+            placement_.setWindowOpen(static_cast<EngineIndex>(engine), isOpen[engine] != 0);
         }
         Reason reason;
         const auto decision = placement_.place(request, now, random, reason);
--- a/tests/decision/test_cache_budget.cpp
+++ b/tests/decision/test_eviction_estimator.cpp
@@ -1,14 +1,14 @@
 #include <boost/test/unit_test.hpp>
 
-#include "decision/cache_budget.h"
+#include "decision/eviction_estimator.h"
 
 using namespace Lovageloft;
 
-BOOST_AUTO_TEST_SUITE(CacheBudgetTest)
+BOOST_AUTO_TEST_SUITE(EvictionEstimatorTest)
 
 BOOST_AUTO_TEST_CASE(whatWasUsedLeastRecentlyIsDroppedOnceTheMemoryIsFull)
 {
-    CacheBudget budget;
+    EvictionEstimator budget;
     budget.setCapacity(50'000);
     std::vector<BlockHash> dropped;
     budget.onSent(std::vector<BlockHash>{1, 2}, 20'000, dropped);
@@ -25,7 +25,7 @@
 {
     // A burst of short questions fills an engine's memory. A host that went on believing in the chapter there would send its readers to
     // an engine that computes it anew, while another one holds it.
-    CacheBudget budget;
+    EvictionEstimator budget;
     budget.setCapacity(100'000);
     std::vector<BlockHash> dropped;
     budget.onSent(std::vector<BlockHash>{7}, 13'000, dropped);
@@ -39,7 +39,7 @@
 
 BOOST_AUTO_TEST_CASE(withoutAKnownMemoryNothingIsDropped)
 {
-    CacheBudget budget;
+    EvictionEstimator budget;
     std::vector<BlockHash> dropped;
     for (BlockHash block = 0; block < 1'000; ++block) {
         budget.onSent(std::vector<BlockHash>{block}, 1e6, dropped);
@@ -49,7 +49,7 @@
 
 BOOST_AUTO_TEST_CASE(anEngineThatLostEverythingBeginsAnew)
 {
-    CacheBudget budget;
+    EvictionEstimator budget;
     budget.setCapacity(10);
     std::vector<BlockHash> dropped;
     budget.onSent(std::vector<BlockHash>{1}, 5, dropped);
--- a/tests/decision/test_homes_of_prompts.cpp
+++ b/tests/decision/test_homes_of_prompts.cpp
@@ -26,8 +26,8 @@
     explicit Fleet(std::size_t remoteCount = 0)
     {
         PlacementPolicy policy;
-        policy.remoteWait = 0.002;
-        policy.viewBlocks = 65'536;
+        policy.remoteWaitPerKilobyte = 0.002;
+        policy.cacheViewBlocks = 65'536;
         policy.blockTokens = partBlockTokens;
         std::vector<SchedulerEngine> engines;
         for (std::size_t i = 0; i < engineCount; ++i) {
--- a/tests/decision/test_load_of_long_prompts.cpp
+++ b/tests/decision/test_load_of_long_prompts.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t hostCount = 8;
 constexpr std::size_t engineCount = 18;
 constexpr double tokensPerSecond = 90'000;
-constexpr std::uint32_t quietTokens = 1'024; ///< Requests that compute less are not told to the other hosts.
+constexpr std::uint32_t minAnnouncedTokens = 1'024; ///< Requests that compute less are not told to the other hosts.
 
 struct Outcome
 {
@@ -38,9 +38,9 @@
         : tellsOthers_(tellsOthers)
     {
         PlacementPolicy policy;
-        policy.viewBlocks = 65'536;
+        policy.cacheViewBlocks = 65'536;
         policy.blockTokens = partBlockTokens;
-        policy.quietTokens = quietTokens;
+        policy.minAnnouncedTokens = minAnnouncedTokens;
         policy.randomCandidates = randomCandidates;
         std::vector<SchedulerEngine> engines;
         for (std::size_t i = 0; i < engineCount; ++i) {
@@ -111,13 +111,13 @@
         ++outcome_.total;
         outcome_.longLate += isLong && wait > 500ms ? 1 : 0;
         outcome_.shortLate += !isLong && wait > 200ms ? 1 : 0;
-        if (!tellsOthers_ || assignment.workTokens < quietTokens) {
+        if (!tellsOthers_ || assignment.workTokens < minAnnouncedTokens) {
             return;
         }
         for (std::size_t other = 0; other < hostCount; ++other) {
             if (other != host) {
                 const auto shared = std::span(assignment.blocks).first(std::min<std::size_t>(12, assignment.blocks.size()));
-                hosts_[other]->onDispatchedElsewhere(assignment.engine, assignment.workTokens, assignment.newTokens, shared, now_);
+                hosts_[other]->onDispatchedByPeer(assignment.engine, assignment.workTokens, assignment.newTokens, shared, now_);
             }
         }
     }
--- a/tests/decision/test_placement.cpp
+++ b/tests/decision/test_placement.cpp
@@ -121,7 +121,7 @@
 {
     const std::vector<BlockHash> chain; // A short question: no engine suits it better than another.
     for (EngineIndex engine = 0; engine < engineCount; ++engine) {
-        placement.setOpen(engine, engine == 5);
+        placement.setWindowOpen(engine, engine == 5);
         placement.onLoadReport(engine, {.measuredAt = at(0), .incarnation = 1, .queuedPrefillTokens = 20'000}, at(0));
     }
     BOOST_TEST(place(chain, 0)->engine == 5U);
@@ -139,7 +139,7 @@
     // them again and drop their own for them, and all callers would wait longer from then on.
     const std::vector<BlockHash> chain = makeChain(1, 40);
     const EngineIndex holder = serve(chain, 0, 4);
-    placement.setOpen(holder, false);
+    placement.setWindowOpen(holder, false);
     BOOST_TEST(place(chain, 10)->engine == holder);
     placement.onLoadReport(holder, {.measuredAt = at(10), .incarnation = 1, .queuedPrefillTokens = 15'000}, at(10));
     BOOST_TEST(place(chain, 10)->engine != holder);
--- a/tests/decision/test_prefix_chain.cpp
+++ b/tests/decision/test_prefix_chain.cpp
@@ -55,7 +55,7 @@
 BOOST_AUTO_TEST_CASE(onlyWholeBlocksCountAndHugePromptsAreCut)
 {
     BOOST_TEST(chainOf({}, std::string(prefixBlockBytes - 1, 'x')).empty());
-    BOOST_TEST(chainOf({}, std::string((prefixChainLimit + 9) * prefixBlockBytes, 'x')).size() == prefixChainLimit);
+    BOOST_TEST(chainOf({}, std::string((maxPrefixChainBlocks + 9) * prefixBlockBytes, 'x')).size() == maxPrefixChainBlocks);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/decision/test_request_scheduler.cpp
+++ b/tests/decision/test_request_scheduler.cpp
@@ -227,7 +227,7 @@
         BOOST_TEST(!isRefused);
         for (const SchedulerOutcome &outcome : single.decide(start, random)) {
             if (const auto *assignment = std::get_if<SchedulerAssignment>(&outcome)) {
-                expected.push_back(assignment->expectedFirstToken);
+                expected.push_back(assignment->expectedFirstTokenSeconds);
             }
         }
     }
--- a/tests/gateway/test_last_begin_on_older_weights.cpp
+++ b/tests/gateway/test_last_begin_on_older_weights.cpp
@@ -27,7 +27,7 @@
     {
         PlacementPolicy policy;
         policy.blockTokens = partBlockTokens;
-        policy.attentionTokens = 30'000;
+        policy.attentionParityTokens = 30'000;
         return policy;
     }
 
@@ -122,7 +122,7 @@
     // begin there after the deadline, though it was sent in time.
     addEngine("e", 1);
     scheduler.setEngines(directory.engines(namedAt));
-    scheduler.onDispatchedElsewhere("e|m", 60'000, 0, {}, namedAt + 6'300ms);
+    scheduler.onDispatchedByPeer("e|m", 60'000, 0, {}, namedAt + 6'300ms);
     BOOST_TEST(isRefusedForGood(decide(shortPrompt, 6'400ms)));
 }
 
