--- a/coordination/backoff.cpp
+++ b/coordination/backoff.cpp
@@ -13,12 +13,12 @@
 {
 }
 
-void Backoff::setLongest(Duration longest)
+void Backoff::setMaxDelay(Duration longest)
 {
     longest_ = longest;
 }
 
-Duration Backoff::next()
+Duration Backoff::nextDelay()
 {
     pause_ = std::min(pause_, longest_);
     const Duration half = pause_ / 2;
--- a/coordination/backoff.h
+++ b/coordination/backoff.h
@@ -13,10 +13,10 @@
 public:
     Backoff(Duration first, Duration longest, const Random &random);
 
-    void setLongest(Duration longest);
+    void setMaxDelay(Duration longest);
 
     /// The pause after one more failure.
-    Duration next();
+    Duration nextDelay();
 
     void reset();
 
--- a/coordination/call_breaker.cpp
+++ b/coordination/circuit_breaker.cpp
@@ -1,4 +1,4 @@
-#include "coordination/call_breaker.h"
+#include "coordination/circuit_breaker.h"
 
 #include <algorithm>
 
@@ -12,38 +12,38 @@
 
 } // namespace
 
-CallBreaker::CallBreaker(const Random &random)
+CircuitBreaker::CircuitBreaker(const Random &random)
     : random_(random)
     , backoff_(firstPause, firstPause, random)
 {
 }
 
-void CallBreaker::setLongestPause(Duration longest)
+void CircuitBreaker::setMaxOpenDuration(Duration longest)
 {
     longest_ = longest;
-    backoff_.setLongest(longest);
+    backoff_.setMaxDelay(longest);
 }
 
-bool CallBreaker::isClosed(TimePoint now) const
+bool CircuitBreaker::isClosed(TimePoint now) const
 {
     return longest_ == Duration::zero() || now >= nextCallAt_;
 }
 
-void CallBreaker::onAnswer()
+void CircuitBreaker::onSuccess()
 {
     backoff_.reset();
     nextCallAt_ = {};
 }
 
-void CallBreaker::onFailure(TimePoint now)
+void CircuitBreaker::onFailure(TimePoint now)
 {
     const bool wasMadeBefore = now < nextCallAt_; // Before the last one failed.
     if (longest_ > Duration::zero() && !wasMadeBefore) {
-        nextCallAt_ = now + backoff_.next();
+        nextCallAt_ = now + backoff_.nextDelay();
     }
 }
 
-void CallBreaker::onOthersAnswered(TimePoint now, Duration window)
+void CircuitBreaker::onPeersAnswered(TimePoint now, Duration window)
 {
     if (now < nextCallAt_) {
         nextCallAt_ = std::min(nextCallAt_, now + randomUpTo(random_, window));
--- a/coordination/crash_quarantine.cpp
+++ b/coordination/crash_quarantine.cpp
@@ -42,10 +42,10 @@
     }
     suspect.lastAt = now;
     const auto end = suspect.targets.begin() + static_cast<std::ptrdiff_t>(suspect.crashes);
-    if (suspect.crashes < crashLimit && std::find(suspect.targets.begin(), end, report.target) == end) {
+    if (suspect.crashes < maxCrashes && std::find(suspect.targets.begin(), end, report.target) == end) {
         suspect.targets.at(suspect.crashes++) = report.target;
     }
-    return suspect.crashes >= crashLimit;
+    return suspect.crashes >= maxCrashes;
 }
 
 bool CrashQuarantine::add(RequestFingerprint request, TimePoint now)
--- a/coordination/crash_quarantine.h
+++ b/coordination/crash_quarantine.h
@@ -23,14 +23,14 @@
 /// Keeps a request that ends the targets that run it from ending a whole fleet of them.
 ///
 /// The load it is made for: a request that crashes each engine that begins to run it, and that comes again at any host. No host sees enough
-/// of its tries to tell, so each tells the request's homes of a target that it lost with it; a home that has heard of `crashLimit`
+/// of its tries to tell, so each tells the request's homes of a target that it lost with it; a home that has heard of `maxCrashes`
 /// different targets puts the request into quarantine and tells all hosts. Requests that were answered once, such as those that happened to
 /// run beside it, are not held against. Bounded in entries; the oldest go first.
 class CrashQuarantine
 {
 public:
     /// Different targets that a request may end before it is refused.
-    static constexpr std::size_t crashLimit = 3;
+    static constexpr std::size_t maxCrashes = 3;
 
     /// This host has had an answer to the request, or the begin of one.
     void noteAnswered(RequestFingerprint request);
@@ -52,7 +52,7 @@
 private:
     struct Suspect
     {
-        std::array<std::uint64_t, crashLimit> targets{};
+        std::array<std::uint64_t, maxCrashes> targets{};
         std::size_t crashes = 0;
         TimePoint lastAt;
     };
--- a/coordination/duty_hosts.cpp
+++ b/coordination/duty_hosts.cpp
@@ -17,13 +17,13 @@
     HostCapacity most;
     for (const auto &[name, capacity] : hosts) {
         most.cores = std::max(most.cores, capacity.cores);
-        most.linkMegabits = std::max(most.linkMegabits, capacity.linkMegabits);
+        most.linkMegabitsPerSecond = std::max(most.linkMegabitsPerSecond, capacity.linkMegabitsPerSecond);
     }
     std::vector<std::string> all;
     std::vector<std::string> large;
     for (const auto &[name, capacity] : hosts) {
         all.push_back(name);
-        if (2 * capacity.cores >= most.cores && 2 * capacity.linkMegabits >= most.linkMegabits) {
+        if (2 * capacity.cores >= most.cores && 2 * capacity.linkMegabitsPerSecond >= most.linkMegabitsPerSecond) {
             large.push_back(name);
         }
     }
--- a/coordination/duty_hosts.h
+++ b/coordination/duty_hosts.h
@@ -11,7 +11,7 @@
 struct HostCapacity
 {
     double cores = 0;
-    double linkMegabits = 0; ///< A second.
+    double linkMegabitsPerSecond = 0; ///< A second.
 
     bool operator==(const HostCapacity &) const = default;
 };
--- a/coordination/freshness_gate.cpp
+++ b/coordination/freshness_gate.cpp
@@ -38,34 +38,34 @@
     update();
 }
 
-void FreshnessGate::onPeerVouch(const PeerVouch &vouch, TimePoint askedAt)
+void FreshnessGate::onPeerVersionReport(const PeerVersionReport &report, TimePoint askedAt)
 {
-    record(vouch, askedAt);
+    record(report, askedAt);
     update();
 }
 
-void FreshnessGate::onPeerVouches(std::span<const TimedVouch> vouches)
+void FreshnessGate::onPeerVersionReports(std::span<const TimedVersionReport> reports)
 {
-    for (const TimedVouch &timed : vouches) {
-        record(timed.vouch, timed.askedAt);
+    for (const TimedVersionReport &timed : reports) {
+        record(timed.report, timed.askedAt);
     }
     update();
 }
 
-void FreshnessGate::record(const PeerVouch &vouch, TimePoint askedAt)
+void FreshnessGate::record(const PeerVersionReport &report, TimePoint askedAt)
 {
-    if (vouch.host == self_ || askedAt < startedAt_) {
+    if (report.host == self_ || askedAt < startedAt_) {
         return;
     }
-    const auto [position, isNew] = peers_.try_emplace(vouch.host);
+    const auto [position, isNew] = peers_.try_emplace(report.host);
     PeerRow &row = position->second;
     if (!isNew) {
-        const bool isFormerSelf = vouch.incarnation != 0 && vouch.incarnation < row.incarnation;
+        const bool isFormerSelf = report.incarnation != 0 && report.incarnation < row.incarnation;
         if (isFormerSelf || askedAt <= row.askedAt) {
             return;
         }
     }
-    row = {std::max(row.incarnation, vouch.incarnation), vouch.versionHeld, vouch.isCaughtUp, askedAt};
+    row = {std::max(row.incarnation, report.incarnation), report.versionHeld, report.isCaughtUp, askedAt};
 }
 
 /// Works out the end of freshness from what is known now. Done at each change instead of at each request: requests come by the
@@ -73,10 +73,10 @@
 void FreshnessGate::update()
 {
     const auto confirmed = confirmedAt();
-    const auto vouched = majorityTime(lists_, [this](const std::string &host) { return vouchedAt(host); });
+    const auto reported = majorityTime(lists_, [this](const std::string &host) { return reportedAt(host); });
     // The same majority, but of any age since the start, has seen to it that this host knows what was in force when it asked.
     const bool wasCaughtUp = isCaughtUp_;
-    isCaughtUp_ = isCaughtUp_ || confirmed.has_value() || vouched.has_value();
+    isCaughtUp_ = isCaughtUp_ || confirmed.has_value() || reported.has_value();
     if (!wasCaughtUp && isCaughtUp_) {
         update(); // Once more, with this host as one of the majority.
         return;
@@ -86,15 +86,15 @@
         return;
     }
     std::optional<TimePoint> since = confirmed;
-    if (vouched.has_value() && (!since.has_value() || *since < *vouched)) {
-        since = vouched;
+    if (reported.has_value() && (!since.has_value() || *since < *reported)) {
+        since = reported;
     }
     if (since.has_value()) {
         freshUntil_ = *since == TimePoint::max() ? *since : *since + window_;
     }
 }
 
-std::optional<TimePoint> FreshnessGate::vouchedAt(const std::string &host) const
+std::optional<TimePoint> FreshnessGate::reportedAt(const std::string &host) const
 {
     if (host == self_) {
         return isCaughtUp_ ? std::optional(TimePoint::max()) : std::nullopt;
--- a/coordination/freshness_gate.h
+++ b/coordination/freshness_gate.h
@@ -40,16 +40,16 @@
 
     /// A peer's answer to a question sent at `askedAt`, or an answer relayed by others with `askedAt` no later than the time at
     /// which it was true.
-    void onPeerVouch(const PeerVouch &vouch, TimePoint askedAt);
+    void onPeerVersionReport(const PeerVersionReport &report, TimePoint askedAt);
 
     /// Many answers at once.
-    struct TimedVouch
+    struct TimedVersionReport
     {
-        PeerVouch vouch;
+        PeerVersionReport report;
         TimePoint askedAt;
     };
 
-    void onPeerVouches(std::span<const TimedVouch> vouches);
+    void onPeerVersionReports(std::span<const TimedVersionReport> reports);
 
     /// Whether this process has, since its start, held all that was in force at some moment. Until then its vouches don't count.
     bool isCaughtUp() const;
@@ -77,9 +77,9 @@
         TimePoint sentAt;
     };
 
-    void record(const PeerVouch &vouch, TimePoint askedAt);
+    void record(const PeerVersionReport &report, TimePoint askedAt);
     void update();
-    std::optional<TimePoint> vouchedAt(const std::string &host) const;
+    std::optional<TimePoint> reportedAt(const std::string &host) const;
     std::optional<TimePoint> confirmedAt() const;
     bool isListed() const;
 
--- a/coordination/host_lists.h
+++ b/coordination/host_lists.h
@@ -31,7 +31,7 @@
 }
 
 /// What a host answers when it is asked what it holds.
-struct PeerVouch
+struct PeerVersionReport
 {
     std::string host;
     std::uint64_t incarnation = 0; ///< Higher after each restart; 0 in a vouch that was relayed.
--- a/coordination/in_force_tracker.cpp
+++ b/coordination/in_force_tracker.cpp
@@ -50,23 +50,23 @@
     }
 }
 
-void InForceTracker::onPeerVouch(const PeerVouch &vouch, TimePoint askedAt, TimePoint answeredAt)
+void InForceTracker::onPeerVersionReport(const PeerVersionReport &report, TimePoint askedAt, TimePoint answeredAt)
 {
-    Host &host = hosts_[vouch.host];
-    if (vouch.incarnation < host.incarnation || (vouch.incarnation == host.incarnation && vouch.versionHeld < host.versionHeld)) {
+    Host &host = hosts_[report.host];
+    if (report.incarnation < host.incarnation || (report.incarnation == host.incarnation && report.versionHeld < host.versionHeld)) {
         return; // The answer of its former self, or one that was overtaken.
     }
-    if (vouch.incarnation > host.incarnation) {
-        host = Host{vouch.incarnation, 0, false, askedAt, {}};
+    if (report.incarnation > host.incarnation) {
+        host = Host{report.incarnation, 0, false, askedAt, {}};
     }
-    host.versionHeld = vouch.versionHeld;
-    host.isCaughtUp = vouch.isCaughtUp;
+    host.versionHeld = report.versionHeld;
+    host.isCaughtUp = report.isCaughtUp;
     host.lastAskedAt = std::max(host.lastAskedAt, askedAt);
-    if (!vouch.isCaughtUp) {
+    if (!report.isCaughtUp) {
         return;
     }
     for (const auto &[sequence, knownAt] : tracked_) {
-        if (sequence <= vouch.versionHeld) {
+        if (sequence <= report.versionHeld) {
             host.heldSince.try_emplace(sequence, answeredAt);
         }
     }
--- a/coordination/in_force_tracker.h
+++ b/coordination/in_force_tracker.h
@@ -31,7 +31,7 @@
 
     /// A host's own answer to a question sent at `askedAt` that came in at `answeredAt`, never a relayed one. The host that runs the
     /// tracker reports itself with both times equal.
-    void onPeerVouch(const PeerVouch &vouch, TimePoint askedAt, TimePoint answeredAt);
+    void onPeerVersionReport(const PeerVersionReport &report, TimePoint askedAt, TimePoint answeredAt);
 
     /// Works out what is in force at `now`.
     void advance(TimePoint now);
--- a/coordination/lease_holder.cpp
+++ b/coordination/lease_holder.cpp
@@ -52,7 +52,7 @@
     return nextStep_;
 }
 
-void LeaseHolder::wake(TimePoint now)
+void LeaseHolder::pollNow(TimePoint now)
 {
     if (next_ == &LeaseHolder::poll) {
         nextStep_ = std::min(nextStep_, now);
@@ -90,7 +90,7 @@
     if (reply.status == StoreStatus::NotFound) {
         next(&LeaseHolder::grant, now);
     } else {
-        next(&LeaseHolder::poll, now + (reply.status == StoreStatus::Ok ? options_.pollPause : options_.failurePause));
+        next(&LeaseHolder::poll, now + (reply.status == StoreStatus::Ok ? options_.pollInterval : options_.retryDelay));
     }
 }
 
@@ -98,7 +98,7 @@
 {
     const StoreLeaseReply reply = store_.grantLease(options_.timeToLive);
     if (reply.status != StoreStatus::Ok) {
-        next(&LeaseHolder::poll, now + options_.failurePause);
+        next(&LeaseHolder::poll, now + options_.retryDelay);
         return;
     }
     leaseId_ = reply.leaseId;
@@ -114,7 +114,7 @@
     } else if (reply.status == StoreStatus::AnswerLost || reply.status == StoreStatus::Conflict) {
         next(&LeaseHolder::readBack, now);
     } else {
-        next(&LeaseHolder::poll, now + options_.failurePause);
+        next(&LeaseHolder::poll, now + options_.retryDelay);
     }
 }
 
@@ -125,7 +125,7 @@
     if (reply.status == StoreStatus::Ok && reply.entry.value == value()) {
         acquired(reply.entry.revision, now);
     } else {
-        next(&LeaseHolder::poll, now + (reply.status == StoreStatus::Ok ? options_.pollPause : options_.failurePause));
+        next(&LeaseHolder::poll, now + (reply.status == StoreStatus::Ok ? options_.pollInterval : options_.retryDelay));
     }
 }
 
@@ -149,7 +149,7 @@
 void LeaseHolder::remove(TimePoint now)
 {
     store_.compareAndDelete(key_, removedToken_);
-    next(&LeaseHolder::poll, now + options_.pollPause);
+    next(&LeaseHolder::poll, now + options_.pollInterval);
 }
 
 void LeaseHolder::acquired(std::int64_t revision, TimePoint now)
@@ -162,7 +162,7 @@
 void LeaseHolder::lose(TimePoint now)
 {
     token_ = 0;
-    next(&LeaseHolder::poll, now + options_.failurePause);
+    next(&LeaseHolder::poll, now + options_.retryDelay);
 }
 
 void LeaseHolder::next(Step step, TimePoint time)
--- a/coordination/lease_holder.h
+++ b/coordination/lease_holder.h
@@ -15,8 +15,8 @@
 {
     Duration timeToLive = std::chrono::seconds(10);
     Duration margin = std::chrono::seconds(2); ///< The holder stops this long before the store lets the lease lapse.
-    Duration pollPause = std::chrono::seconds(2); ///< Between looks at a key that another host holds.
-    Duration failurePause = std::chrono::seconds(2); ///< After a failed call.
+    Duration pollInterval = std::chrono::seconds(2); ///< Between looks at a key that another host holds.
+    Duration retryDelay = std::chrono::seconds(2); ///< After a failed call.
     std::optional<Duration> settleTime = std::nullopt; ///< See LeaseHolder::settledAt; the lease's life and the margin if not set.
 };
 
@@ -36,7 +36,7 @@
     TimePoint nextStep() const;
 
     /// The key was seen to be gone: the next step is due now if this host holds nothing.
-    void wake(TimePoint now);
+    void pollNow(TimePoint now);
 
     /// Whether the lease may be acted on at `now`.
     bool isHeld(TimePoint now) const;
--- a/coordination/memory_store.cpp
+++ b/coordination/memory_store.cpp
@@ -20,30 +20,30 @@
 {
 }
 
-std::shared_ptr<const MemoryStore::Copy> MemoryStore::copy()
+std::shared_ptr<const MemoryStore::Snapshot> MemoryStore::snapshot()
 {
     const std::lock_guard lock(mutex_);
     expireLeases();
-    auto copy = std::make_shared<Copy>();
-    copy->values_ = values_;
-    copy->leases_ = leases_;
-    copy->revision_ = revision_;
-    return copy;
+    auto snapshot = std::make_shared<Snapshot>();
+    snapshot->values_ = values_;
+    snapshot->leases_ = leases_;
+    snapshot->revision_ = revision_;
+    return snapshot;
 }
 
-void MemoryStore::restore(const Copy &copy)
+void MemoryStore::restore(const Snapshot &snapshot)
 {
     const std::lock_guard lock(mutex_);
-    values_ = copy.values_;
-    leases_ = copy.leases_;
-    revision_ = copy.revision_;
+    values_ = snapshot.values_;
+    leases_ = snapshot.leases_;
+    revision_ = snapshot.revision_;
     history_.clear();
     compactedRevision_ = revision_;
     ++restores_;
     changed_.notify_all();
 }
 
-std::int64_t MemoryStore::restores() const
+std::int64_t MemoryStore::restoreCount() const
 {
     return restores_;
 }
--- a/coordination/memory_store.h
+++ b/coordination/memory_store.h
@@ -26,16 +26,16 @@
     explicit MemoryStore(Now now = &BootClock::now, std::size_t historyLimit = 4096);
 
     /// All that a copy of the store holds.
-    class Copy;
+    class Snapshot;
 
-    std::shared_ptr<const Copy> copy();
+    std::shared_ptr<const Snapshot> snapshot();
 
     /// Comes back from a copy: what was written since is gone, leases too, and revisions are given out again. A watch from a revision that there
     /// isn't gets NotFound.
-    void restore(const Copy &copy);
+    void restore(const Snapshot &snapshot);
 
     /// How often it was restored.
-    std::int64_t restores() const;
+    std::int64_t restoreCount() const;
 
     StoreReply get(std::string_view key) override;
     StoreListReply list(std::string_view prefix) override;
@@ -80,7 +80,7 @@
     std::atomic<std::int64_t> restores_ = 0;
 };
 
-class MemoryStore::Copy
+class MemoryStore::Snapshot
 {
     friend class MemoryStore;
 
--- a/coordination/store.h
+++ b/coordination/store.h
@@ -51,7 +51,7 @@
 
     /// The same: for how long before the entries came the store had answered nobody, so that leases may have run out; nothing if that is
     /// not known.
-    std::optional<Duration> away{};
+    std::optional<Duration> outage{};
 };
 
 /// Answer to a call about a lease.
--- a/coordination/store_position.h
+++ b/coordination/store_position.h
@@ -9,23 +9,23 @@
 {
 
 inline constexpr int revisionBits = 40;
-inline constexpr std::int64_t mostRevisions = std::int64_t{1} << revisionBits;
-inline constexpr std::int64_t mostEras = std::int64_t{1} << (62 - revisionBits);
+inline constexpr std::int64_t revisionsPerEra = std::int64_t{1} << revisionBits;
+inline constexpr std::int64_t maxEras = std::int64_t{1} << (62 - revisionBits);
 
 /// Zero, which stands for no revision, stays zero.
 constexpr std::int64_t positionOf(std::int64_t era, std::int64_t revision)
 {
-    return revision == 0 ? 0 : era * mostRevisions + revision;
+    return revision == 0 ? 0 : era * revisionsPerEra + revision;
 }
 
 constexpr std::int64_t eraOf(std::int64_t position)
 {
-    return position / mostRevisions;
+    return position / revisionsPerEra;
 }
 
 constexpr std::int64_t revisionOf(std::int64_t position)
 {
-    return position % mostRevisions;
+    return position % revisionsPerEra;
 }
 
 } // namespace Lovageloft
--- a/coordination/vouch_table.cpp
+++ b/coordination/version_report_table.cpp
@@ -1,4 +1,4 @@
-#include "coordination/vouch_table.h"
+#include "coordination/version_report_table.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,13 +14,13 @@
 /// Rounded up, since a vouch must not look younger than it is.
 std::uint8_t encodeAge(Duration age)
 {
-    const auto units = (age + VouchTable::ageUnit - Duration(1)) / VouchTable::ageUnit;
+    const auto units = (age + VersionReportTable::ageUnit - Duration(1)) / VersionReportTable::ageUnit;
     return units < noAge ? static_cast<std::uint8_t>(units) : noAge;
 }
 
 } // namespace
 
-void VouchTable::setHosts(std::int64_t listVersion, std::vector<std::string> hosts)
+void VersionReportTable::setHosts(std::int64_t listVersion, std::vector<std::string> hosts)
 {
     std::sort(hosts.begin(), hosts.end());
     listVersion_ = listVersion;
@@ -28,9 +28,9 @@
     rows_.assign(hosts_.size(), Row{});
 }
 
-VouchDigest VouchTable::digest(const PeerVouch &own, TimePoint now) const
+VersionReportDigest VersionReportTable::digest(const PeerVersionReport &own, TimePoint now) const
 {
-    VouchDigest digest{own, listVersion_, own.versionHeld, std::vector<std::uint8_t>(hosts_.size(), noAge)};
+    VersionReportDigest digest{own, listVersion_, own.versionHeld, std::vector<std::uint8_t>(hosts_.size(), noAge)};
     for (std::size_t place = 0; place < hosts_.size(); ++place) {
         if (rows_[place].trueAt == TimePoint::min()) {
             continue;
@@ -43,10 +43,10 @@
     return digest;
 }
 
-std::vector<FreshnessGate::TimedVouch> VouchTable::onDigest(const VouchDigest &digest, TimePoint askedAt)
+std::vector<FreshnessGate::TimedVersionReport> VersionReportTable::onDigest(const VersionReportDigest &digest, TimePoint askedAt)
 {
     // Its own word goes to the gate in any case: a restarted host withdraws what it vouched for.
-    std::vector<FreshnessGate::TimedVouch> improved{{digest.own, askedAt}};
+    std::vector<FreshnessGate::TimedVersionReport> improved{{digest.own, askedAt}};
     const auto own = std::lower_bound(hosts_.begin(), hosts_.end(), digest.own.host);
     if (own != hosts_.end() && *own == digest.own.host && digest.own.isCaughtUp) {
         improve(static_cast<std::size_t>(own - hosts_.begin()), digest.own.versionHeld, askedAt, improved);
@@ -62,7 +62,7 @@
     return improved;
 }
 
-void VouchTable::improve(std::size_t place, std::int64_t version, TimePoint trueAt, std::vector<FreshnessGate::TimedVouch> &improved)
+void VersionReportTable::improve(std::size_t place, std::int64_t version, TimePoint trueAt, std::vector<FreshnessGate::TimedVersionReport> &improved)
 {
     Row &row = rows_[place];
     if (trueAt <= row.trueAt) {
--- a/coordination/vouch_table.h
+++ b/coordination/version_report_table.h
@@ -11,12 +11,12 @@
 {
 
 /// What one host knows of all hosts' vouches, in one byte a host: the answer to another host's question.
-struct VouchDigest
+struct VersionReportDigest
 {
-    PeerVouch own; ///< The answering host itself.
+    PeerVersionReport own; ///< The answering host itself.
     std::int64_t listVersion = 0; ///< The entry that made the list of hosts to which `ages` refers.
     std::int64_t greatestVersion = 0; ///< No host in `ages` held a newer entry when it vouched.
-    std::vector<std::uint8_t> ages; ///< By place in the sorted list: how old the vouch is, in VouchTable::ageUnit; 255: none.
+    std::vector<std::uint8_t> ages; ///< By place in the sorted list: how old the vouch is, in VersionReportTable::ageUnit; 255: none.
 };
 
 /// Gathers the majority's vouches with few messages: each host asks a few hosts a second at random, and each answer relays what the
@@ -26,7 +26,7 @@
 /// time at which its own question was SENT. The answer was put together later than that, and the vouch was at most `age` old then, so
 /// the host did say so after that time, however long the answer was underway, and no two clocks are compared. Versions are rounded up and ages too: a vouch
 /// may count for less than it is worth, never for more. Not thread-safe.
-class VouchTable
+class VersionReportTable
 {
 public:
     /// Ages are counted in these steps, rounded up at each relay; 254 of them, about 4 s, cover the freshness window.
@@ -36,10 +36,10 @@
     void setHosts(std::int64_t listVersion, std::vector<std::string> hosts);
 
     /// The answer to a question that came in at `now`.
-    VouchDigest digest(const PeerVouch &own, TimePoint now) const;
+    VersionReportDigest digest(const PeerVersionReport &own, TimePoint now) const;
 
     /// Takes in the answer to a question sent at `askedAt`, and returns the vouches to hand to the gate.
-    std::vector<FreshnessGate::TimedVouch> onDigest(const VouchDigest &digest, TimePoint askedAt);
+    std::vector<FreshnessGate::TimedVersionReport> onDigest(const VersionReportDigest &digest, TimePoint askedAt);
 
 private:
     struct Row
@@ -48,7 +48,7 @@
         TimePoint trueAt = TimePoint::min(); ///< The vouch was given no earlier than this.
     };
 
-    void improve(std::size_t place, std::int64_t version, TimePoint trueAt, std::vector<FreshnessGate::TimedVouch> &improved);
+    void improve(std::size_t place, std::int64_t version, TimePoint trueAt, std::vector<FreshnessGate::TimedVersionReport> &improved);
 
     std::int64_t listVersion_ = 0;
     std::vector<std::string> hosts_; ///< Sorted.
--- a/examples/freshness.cpp
+++ b/examples/freshness.cpp
@@ -23,14 +23,14 @@
     tracker.track(2, at(1));
     for (int second = 1; second <= 5; ++second) {
         for (const char *holder : {"a", "b"}) {
-            tracker.onPeerVouch({holder, 1, 2, true}, at(second), at(second));
+            tracker.onPeerVersionReport({holder, 1, 2, true}, at(second), at(second));
         }
         tracker.advance(at(second));
         std::cout << "second " << second << ": c is " << (cutOff.isFresh(at(second)) ? "fresh" : "not fresh") << ", entry 2 is "
                   << (tracker.isInForce(2) ? "in force" : "committed") << ", lacking hosts: " << tracker.lacking(2).size() << '\n';
     }
     // Host b answers c at last, and says that it holds a newer entry: that is no vouch.
-    cutOff.onPeerVouch({"b", 1, 2, true}, at(6));
+    cutOff.onPeerVersionReport({"b", 1, 2, true}, at(6));
     std::cout << "second 6: c is " << (cutOff.isFresh(at(6)) ? "fresh" : "not fresh") << '\n';
     cutOff.setVersionHeld(2);
     std::cout << "with entry 2: c is " << (cutOff.isFresh(at(6)) ? "fresh" : "not fresh") << '\n';
--- a/gateway/configuration_duty.cpp
+++ b/gateway/configuration_duty.cpp
@@ -33,7 +33,7 @@
         if (isOk) {
             backoff_.reset();
         } else {
-            pause(backoff_.next());
+            pause(backoff_.nextDelay());
         }
     }
 }
--- a/gateway/followed_prefix.cpp
+++ b/gateway/followed_prefix.cpp
@@ -19,7 +19,7 @@
         }
         const bool isOmitted = i < notice.omitted.size() && notice.omitted[i];
         silence = std::max(silence, heardNothing);
-        away = std::max(away, notice.away);
+        outage = std::max(outage, notice.outage);
         lastChange = std::max(lastChange, entry.revision);
         lacksValues = lacksValues || isOmitted;
         entries.emplace_back(entry, isOmitted);
@@ -49,7 +49,7 @@
     // Notices may have come while the store was asked. What the answer holds already must not be handed out after it.
     std::erase_if(entries, [&watch](const auto &heard) { return heard.first.revision <= watch.revision; });
     silence = entries.empty() ? Duration::zero() : silence;
-    away = entries.empty() ? std::nullopt : away;
+    outage = entries.empty() ? std::nullopt : outage;
     reached = std::max(reached, watch.revision);
 }
 
@@ -90,7 +90,7 @@
     behindSince.reset();
     entries.clear();
     silence = {};
-    away = {};
+    outage = {};
 }
 
 void FollowedPrefix::noteKey(const StoreEntry &entry)
--- a/gateway/followed_prefix.h
+++ b/gateway/followed_prefix.h
@@ -26,7 +26,7 @@
     std::optional<TimePoint> behindSince; ///< From when on this host has lacked changes or heartbeats.
     TimePoint storeAt; ///< While behind: when the store may be asked.
     TimePoint questionAt; ///< While behind: when other hosts may be asked again.
-    std::optional<Duration> away; ///< For how long before that the store had answered nobody, as far as told.
+    std::optional<Duration> outage; ///< For how long before that the store had answered nobody, as far as told.
     Duration silence{}; ///< For how long what was not handed out yet could not have been heard of.
     std::deque<std::pair<StoreEntry, bool>> entries; ///< Not handed out yet; true: the value has to be read.
     ChangeLog log; ///< For other hosts.
--- a/gateway/host_duty.cpp
+++ b/gateway/host_duty.cpp
@@ -49,7 +49,7 @@
             backoff_.reset();
             pause(watchPause);
         } else {
-            pause(backoff_.next());
+            pause(backoff_.nextDelay());
         }
     }
     if (leaseId_ != 0) {
--- a/gateway/host_record.cpp
+++ b/gateway/host_record.cpp
@@ -37,7 +37,8 @@
 
 std::string hostRecordText(const HostRecord &record)
 {
-    return hostAddressText(record.address) + ' ' + textOf(record.capacity.cores) + ' ' + textOf(record.capacity.linkMegabits) + ' ' + record.dataCentre;
+    return hostAddressText(record.address) + ' ' + textOf(record.capacity.cores) + ' ' + textOf(record.capacity.linkMegabitsPerSecond) + ' '
+        + record.dataCentre;
 }
 
 std::optional<HostRecord> parseHostRecord(std::string_view text)
--- a/gateway/peer_socket.cpp
+++ b/gateway/peer_socket.cpp
@@ -115,8 +115,8 @@
     changes.setUpTo(notice.upTo);
     changes.setSilenceMilliseconds(static_cast<std::uint32_t>(toMillis(notice.silence)));
     changes.setLatestStart(notice.latestStart);
-    if (notice.away) {
-        changes.setAwayMilliseconds(static_cast<std::uint32_t>(std::min<std::int64_t>(toMillis(*notice.away), unknownTime - 1)));
+    if (notice.outage) {
+        changes.setAwayMilliseconds(static_cast<std::uint32_t>(std::min<std::int64_t>(toMillis(*notice.outage), unknownTime - 1)));
     }
     writeEntries(changes, entries, withValues);
 }
@@ -131,7 +131,7 @@
     notice.silence = std::chrono::milliseconds(changes.getSilenceMilliseconds());
     notice.latestStart = changes.getLatestStart();
     if (changes.getAwayMilliseconds() != unknownTime) {
-        notice.away = std::chrono::milliseconds(changes.getAwayMilliseconds());
+        notice.outage = std::chrono::milliseconds(changes.getAwayMilliseconds());
     }
     return notice;
 }
@@ -316,7 +316,7 @@
         return;
     }
     ChangesNotice part{notice.prefix, notice.after, notice.upTo, {}, {}, notice.silence};
-    part.away = notice.away;
+    part.outage = notice.outage;
     std::size_t next = 0;
     do {
         std::size_t end = next;
--- a/gateway/peer_socket.h
+++ b/gateway/peer_socket.h
@@ -69,7 +69,7 @@
     /// went between them, which a receiver in between may have seen come.
     std::int64_t latestStart = std::numeric_limits<std::int64_t>::max();
 
-    std::optional<Duration> away{}; ///< As in StoreListReply.
+    std::optional<Duration> outage{}; ///< As in StoreListReply.
 };
 
 /// What changed under a prefix after a revision?
--- a/gateway/proof_duty.cpp
+++ b/gateway/proof_duty.cpp
@@ -32,7 +32,7 @@
             backoff_.reset();
             pause(window_ / proofsPerWindow);
         } else {
-            pause(backoff_.next());
+            pause(backoff_.nextDelay());
         }
     }
 }
--- a/gateway/relayed_store.cpp
+++ b/gateway/relayed_store.cpp
@@ -74,7 +74,7 @@
             outage_ = contactAt_ - *failingSince_;
             failingSince_.reset();
         }
-        breaker_.onAnswer();
+        breaker_.onSuccess();
     } else {
         failingSince_ = failingSince_.value_or(contactAt_);
         breaker_.onFailure(now_());
@@ -106,7 +106,7 @@
     std::erase(others_, host_);
     const std::vector<std::string> before(relays().begin(), relays().end());
     ranked_ = std::move(ranked);
-    breaker_.setLongestPause(longestBreak());
+    breaker_.setMaxOpenDuration(longestBreak());
     const auto chosen = relays();
     if (!std::equal(chosen.begin(), chosen.end(), before.begin(), before.end())) {
         writeLog(LogLevel::Info, "relays_chosen", {{"first", chosen.empty() ? "" : chosen.front()}, {"last", chosen.empty() ? "" : chosen.back()}});
@@ -159,7 +159,7 @@
     } else if (notice.upTo >= followed.reached) {
         followed.takeNotice(notice, now);
         followed.heardAt = now;
-        breaker_.onOthersAnswered(now, askWindow());
+        breaker_.onPeersAnswered(now, askWindow());
         noteBehind(notice.prefix, followed, now);
     }
     heard_.notify_all();
@@ -203,7 +203,7 @@
     const bool isToldByStore = followed.isWatched && hasRecentAnswers(followed, now);
     const Duration age = isToldByStore ? Duration::zero() : std::max(Duration::zero(), now - newsAt(followed));
     return ChangesReply{
-        request.id, {request.prefix, request.after, followed.reached, std::move(*entries), {}, followed.silence, request.after, followed.away}, age};
+        request.id, {request.prefix, request.after, followed.reached, std::move(*entries), {}, followed.silence, request.after, followed.outage}, age};
 }
 
 /// Whether the store has answered of late, any call and one about this prefix. What other hosts say doesn't count: two that are cut off would keep
@@ -370,13 +370,13 @@
     std::unique_lock lock(mutex_);
     FollowedPrefix &followed = followed_[std::string(prefix)];
     const TimePoint now = now_();
-    reply.away = outageSince(followed.readAt);
+    reply.outage = outageSince(followed.readAt);
     std::optional<ChangesNotice> changes;
     if (followed.reached != 0 && followed.reached <= reply.revision) {
         changes = followed.changesBy(reply);
         changes->prefix = prefix;
         changes->silence = now - followed.readAt;
-        changes->away = reply.away;
+        changes->outage = reply.outage;
     }
     followed.takeList(reply, changes);
     followed.heardAt = now;
@@ -465,7 +465,7 @@
         return {StoreStatus::NotFound, {}, followed.reached};
     }
     StoreListReply reply{StoreStatus::Ok, {}, followed.reached, std::exchange(followed.silence, {})};
-    reply.away = std::exchange(followed.away, {});
+    reply.outage = std::exchange(followed.outage, {});
     const auto entries = std::exchange(followed.entries, {});
     lock.unlock();
     for (const auto &[entry, isOmitted] : entries) {
@@ -507,14 +507,14 @@
         // A relay doesn't go by what the other says: with silent connections to the store the two would vouch for each other.
         const TimePoint heardAt = isRelayNow ? followed.readAt : std::max(followed.heardAt, followed.readAt);
         reply.silence = std::max(Duration::zero(), askedAt - heardAt);
-        reply.away = outageSince(followed.readAt);
+        reply.outage = outageSince(followed.readAt);
         followed.readAt = now_();
         followed.heardAt = isRelayNow ? followed.readAt : followed.heardAt;
         broadcast = network_.broadcast;
     }
     if (isRelayNow && !reply.entries.empty() && broadcast) {
         ChangesNotice notice{std::string(prefix), lastChange, reply.revision, reply.entries, {}, reply.silence};
-        notice.away = reply.away;
+        notice.outage = reply.outage;
         broadcast(notice);
     }
     return reply;
--- a/gateway/relayed_store.h
+++ b/gateway/relayed_store.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/call_breaker.h"
+#include "coordination/circuit_breaker.h"
 #include "coordination/forwarding_store.h"
 #include "core/random.h"
 #include "gateway/followed_prefix.h"
@@ -116,7 +116,7 @@
     std::vector<std::string> others_; ///< All hosts but this one.
     std::vector<std::string> ranked_; ///< The first in rank: the relays, then the deputies.
     Random random_;
-    CallBreaker breaker_;
+    CircuitBreaker breaker_;
     TimePoint contactAt_; ///< When the store last answered a call of this host.
     std::optional<TimePoint> failingSince_; ///< While calls fail: when the store last answered before.
     TimePoint outageEnd_; ///< When the store answered again after calls had failed.
--- a/gateway/target_duty.cpp
+++ b/gateway/target_duty.cpp
@@ -47,7 +47,7 @@
             lostAt_ = BootClock::now();
             writeLog(LogLevel::Warning, "store_lost", {{"duty", "targets"}});
         }
-        pause(backoff_.next());
+        pause(backoff_.nextDelay());
     }
 }
 
@@ -63,7 +63,7 @@
         take(entry, targets);
     }
     const TimePoint now = BootClock::now();
-    const bool wasAway = isOtherEra(reply.revision) || (lostAt_ && reply.away.value_or(lapseTime) >= lapseTime);
+    const bool wasAway = isOtherEra(reply.revision) || (lostAt_ && reply.outage.value_or(lapseTime) >= lapseTime);
     reached_ = reply.revision;
     for (const auto &[id, target] : targets_) {
         if (!targets.contains(id) && wasAway) {
@@ -97,7 +97,7 @@
         return true;
     }
     TargetMap targets = targets_;
-    const bool wasAway = isOtherEra(reply.revision) || reply.away.value_or(reply.silence) >= lapseTime;
+    const bool wasAway = isOtherEra(reply.revision) || reply.outage.value_or(reply.silence) >= lapseTime;
     reached_ = watchFrom_;
     const TimePoint now = BootClock::now();
     for (const StoreEntry &entry : reply.entries) {
--- a/gateway/weights_duty.cpp
+++ b/gateway/weights_duty.cpp
@@ -96,7 +96,7 @@
         const std::lock_guard lock(mutex_);
         if (candidacy_.isDue(BootClock::now())) {
             hasStood_ = true;
-            lease_.wake(BootClock::now());
+            lease_.pollNow(BootClock::now());
         }
     }
     stepLease();
--- a/main/gateway_host.cpp
+++ b/main/gateway_host.cpp
@@ -180,8 +180,8 @@
     options.holderName = settings_.hostName;
     options.lease.timeToLive = std::max(settings_.leaderLease, settings_.shortestLease);
     options.lease.margin = options.lease.timeToLive / leaseParts;
-    options.lease.pollPause = std::chrono::hours(1); // Candidacy says when to look.
-    options.lease.failurePause = std::chrono::milliseconds(700);
+    options.lease.pollInterval = std::chrono::hours(1); // Candidacy says when to look.
+    options.lease.retryDelay = std::chrono::milliseconds(700);
     options.lease.settleTime = std::max(settleTime, options.lease.margin);
     options.enginesCheckFencing = settings_.enginesCheckFencing;
     options.deadline = settings_.weightsDeadline;
--- a/servers/configuration_service.cpp
+++ b/servers/configuration_service.cpp
@@ -154,7 +154,7 @@
     if (settings_.storeKind == "memory" && log_.state().hosts().empty() && gate_.isCaughtUp()) {
         tracker_.onInForce(log_.version());
     }
-    tracker_.onPeerVouch({settings_.hostName, incarnation_, gate_.versionHeld(), gate_.isCaughtUp()}, now, now);
+    tracker_.onPeerVersionReport({settings_.hostName, incarnation_, gate_.versionHeld(), gate_.isCaughtUp()}, now, now);
     tracker_.advance(now);
     const std::int64_t inForce = std::min(tracker_.inForceVersion(), log_.version());
     // A host is ready only once the store knows what is in force, so that one which replaces it finds that there.
@@ -192,12 +192,12 @@
 void ConfigurationService::onPeerAnswer(const std::string &address, const PeerAnswer &answer, TimePoint askedAt)
 {
     const std::lock_guard lock(mutex_);
-    gate_.onPeerVouch(answer.vouch, askedAt);
-    tracker_.onPeerVouch(answer.vouch, askedAt, BootClock::now());
+    gate_.onPeerVersionReport(answer.report, askedAt);
+    tracker_.onPeerVersionReport(answer.report, askedAt, BootClock::now());
     if (answer.inForceVersion > tracker_.inForceVersion()) {
         tracker_.onInForce(answer.inForceVersion);
     }
-    if (answer.vouch.versionHeld > log_.version()) {
+    if (answer.report.versionHeld > log_.version()) {
         aheadPeers_.push_back(address);
     }
     publishInForce();
@@ -275,7 +275,7 @@
     // deployment costs no messages.
     const bool isEntryOnItsWay = tracker_.inForceVersion() < log_.version();
     if ((isStoreLate(now) || isEntryOnItsWay) && isAskDue(now)) {
-        questions.vouchFrom = listedPeers();
+        questions.requestReportsFrom = listedPeers();
     }
     questions.entriesFrom = std::exchange(aheadPeers_, {});
     if (log_.version() == 0 && isStoreLate(now)) {
--- a/servers/configuration_service.h
+++ b/servers/configuration_service.h
@@ -27,7 +27,7 @@
 /// What the peer duty is to ask, worked out by `tick`.
 struct PeerQuestions
 {
-    std::vector<std::string> vouchFrom; ///< Peer addresses.
+    std::vector<std::string> requestReportsFrom; ///< Peer addresses.
     std::vector<std::string> entriesFrom;
     std::int64_t entriesAfter = 0;
 };
--- a/servers/peer_duty.cpp
+++ b/servers/peer_duty.cpp
@@ -49,9 +49,9 @@
 void PeerDuty::askQuestions()
 {
     const PeerQuestions questions = configuration_.tick();
-    for (const std::string &address : questions.vouchFrom) {
+    for (const std::string &address : questions.requestReportsFrom) {
         const TimePoint askedAt = BootClock::now();
-        network_.askVouch(address, [this, address, askedAt](const std::optional<PeerAnswer> &answer) {
+        network_.requestVersionReport(address, [this, address, askedAt](const std::optional<PeerAnswer> &answer) {
             if (answer) {
                 configuration_.onPeerAnswer(address, *answer, askedAt);
             }
@@ -117,7 +117,7 @@
     return configuration_.entriesAfter(sequence);
 }
 
-PeerAnswer PeerDuty::vouch()
+PeerAnswer PeerDuty::reportVersion()
 {
     return configuration_.ownAnswer();
 }
--- a/servers/peer_duty.h
+++ b/servers/peer_duty.h
@@ -36,7 +36,7 @@
 
     void onAnnounced(const std::vector<std::string> &entries) override;
     PeerEntries entriesAfter(std::int64_t sequence) override;
-    PeerAnswer vouch() override;
+    PeerAnswer reportVersion() override;
     DebitReply onDebit(const DebitRequest &request) override;
     void onSettlement(const DebitSettlement &settlement) override;
     ClaimQueryReply onClaimQuery(const ClaimQuery &query) override;
--- a/servers/peer_gate.cpp
+++ b/servers/peer_gate.cpp
@@ -41,11 +41,11 @@
 
     kj::Promise<void> vouch(VouchContext context) override
     {
-        const PeerAnswer answer = handler_.vouch();
-        context.getResults().setHost(answer.vouch.host);
-        context.getResults().setIncarnation(answer.vouch.incarnation);
-        context.getResults().setVersionHeld(answer.vouch.versionHeld);
-        context.getResults().setIsCaughtUp(answer.vouch.isCaughtUp);
+        const PeerAnswer answer = handler_.reportVersion();
+        context.getResults().setHost(answer.report.host);
+        context.getResults().setIncarnation(answer.report.incarnation);
+        context.getResults().setVersionHeld(answer.report.versionHeld);
+        context.getResults().setIsCaughtUp(answer.report.isCaughtUp);
         context.getResults().setInForceVersion(answer.inForceVersion);
         return kj::READY_NOW;
     }
--- a/servers/peer_handler.h
+++ b/servers/peer_handler.h
@@ -16,7 +16,7 @@
 /// What a host answers about the configuration that it holds.
 struct PeerAnswer
 {
-    PeerVouch vouch;
+    PeerVersionReport report;
     std::int64_t inForceVersion = 0; ///< The last entry that it knows to be in force.
 };
 
@@ -38,7 +38,7 @@
 
     virtual void onAnnounced(const std::vector<std::string> &entries) = 0;
     virtual PeerEntries entriesAfter(std::int64_t sequence) = 0;
-    virtual PeerAnswer vouch() = 0;
+    virtual PeerAnswer reportVersion() = 0;
     virtual DebitReply onDebit(const DebitRequest &request) = 0;
     virtual void onSettlement(const DebitSettlement &settlement) = 0;
     virtual ClaimQueryReply onClaimQuery(const ClaimQuery &query) = 0;
--- a/servers/peer_network.cpp
+++ b/servers/peer_network.cpp
@@ -289,7 +289,7 @@
     });
 }
 
-void PeerNetwork::askVouch(const std::string &address, std::function<void(std::optional<PeerAnswer>)> onAnswer)
+void PeerNetwork::requestVersionReport(const std::string &address, std::function<void(std::optional<PeerAnswer>)> onAnswer)
 {
     post([address, onAnswer = std::move(onAnswer)](Loop &loop) {
         loop.call<Rpc::Peer::VouchResults>(
--- a/servers/peer_network.h
+++ b/servers/peer_network.h
@@ -40,7 +40,7 @@
 
     void announce(const std::string &address, std::vector<std::string> entries);
     void askEntries(const std::string &address, std::int64_t sequence, std::function<void(std::optional<PeerEntries>)> onAnswer);
-    void askVouch(const std::string &address, std::function<void(std::optional<PeerAnswer>)> onAnswer);
+    void requestVersionReport(const std::string &address, std::function<void(std::optional<PeerAnswer>)> onAnswer);
     void askDebit(const std::string &address, const DebitRequest &request, std::function<void(std::optional<DebitReply>)> onAnswer);
     void settle(const std::string &address, const DebitSettlement &settlement);
     void askClaim(const std::string &address, const ClaimQuery &query, std::function<void(std::optional<ClaimQueryReply>)> onAnswer);
--- a/tests/coordination/faulty_store.h
+++ b/tests/coordination/faulty_store.h
@@ -23,7 +23,7 @@
         Down, ///< The call fails at once and nothing is written.
         LostAfterWrite,
         LostBeforeWrite,
-        ArrivesLater, ///< The answer is lost, and the write is carried out before some later call.
+        DelayedWrite, ///< The answer is lost, and the write is carried out before some later call.
     };
 
     using ChooseFault = std::function<Fault()>;
@@ -45,14 +45,14 @@
     }
 
     /// Carries out the writes that are still on their way.
-    void deliverLateWrites()
+    void applyPendingWrites()
     {
         for (const LateWrite &write : std::exchange(late_, {})) {
             memory_.compareAndSwap(write.key, write.expectedRevision, write.value, 0);
         }
     }
 
-    std::size_t reads() const
+    std::size_t readCount() const
     {
         return reads_;
     }
@@ -83,7 +83,7 @@
         if (fault == Fault::LostAfterWrite) {
             memory_.compareAndSwap(key, expectedRevision, value, leaseId);
         }
-        if (fault == Fault::ArrivesLater) {
+        if (fault == Fault::DelayedWrite) {
             late_.push_back({std::string(key), expectedRevision, std::string(value)});
         }
         return {failure(fault), {}};
--- a/tests/coordination/test_backoff.cpp
+++ b/tests/coordination/test_backoff.cpp
@@ -11,13 +11,13 @@
 {
     Backoff backoff(50ms, 400ms, Random(1));
     for (const Duration pause : {50ms, 100ms, 200ms, 400ms, 400ms}) {
-        const Duration drawn = backoff.next();
+        const Duration drawn = backoff.nextDelay();
         BOOST_TEST((drawn >= pause / 2 && drawn <= pause));
     }
-    backoff.setLongest(80ms);
-    BOOST_TEST((backoff.next() <= 80ms));
+    backoff.setMaxDelay(80ms);
+    BOOST_TEST((backoff.nextDelay() <= 80ms));
     backoff.reset();
-    BOOST_TEST((backoff.next() <= 50ms));
+    BOOST_TEST((backoff.nextDelay() <= 50ms));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/coordination/test_call_breaker.cpp
+++ b/tests/coordination/test_circuit_breaker.cpp
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "coordination/call_breaker.h"
+#include "coordination/circuit_breaker.h"
 
 using namespace Lovageloft;
 using namespace std::chrono_literals;
@@ -11,7 +11,7 @@
 const TimePoint start{1h};
 
 /// Calls within ten seconds of a host that tries at each millisecond and is never answered.
-int callsWithoutAnswer(CallBreaker &breaker)
+int callsWithoutAnswer(CircuitBreaker &breaker)
 {
     int calls = 0;
     for (TimePoint now = start; now < start + 10s; now += 1ms) {
@@ -25,24 +25,24 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(CallBreakerTest)
+BOOST_AUTO_TEST_SUITE(CircuitBreakerTest)
 
 BOOST_AUTO_TEST_CASE(aServiceThatIsAwayIsCalledSeldom)
 {
     // Guards against hundreds of hosts that spend thousands of calls on a store that is down.
-    CallBreaker breaker{Random(1)};
-    breaker.setLongestPause(3s);
+    CircuitBreaker breaker{Random(1)};
+    breaker.setMaxOpenDuration(3s);
     BOOST_TEST(callsWithoutAnswer(breaker) < 12);
-    CallBreaker open{Random(1)};
+    CircuitBreaker open{Random(1)};
     BOOST_TEST(callsWithoutAnswer(open) == 10'000);
 }
 
 BOOST_AUTO_TEST_CASE(anAnswerEndsThePause)
 {
-    CallBreaker breaker{Random(2)};
-    breaker.setLongestPause(3s);
+    CircuitBreaker breaker{Random(2)};
+    breaker.setMaxOpenDuration(3s);
     callsWithoutAnswer(breaker);
-    breaker.onAnswer();
+    breaker.onSuccess();
     BOOST_TEST(breaker.isClosed(start + 10s));
     breaker.onFailure(start + 10s);
     BOOST_TEST(!breaker.isClosed(start + 10s));
@@ -51,14 +51,14 @@
 
 BOOST_AUTO_TEST_CASE(othersThatAreAnsweredShortenThePause)
 {
-    CallBreaker breaker{Random(3)};
-    breaker.setLongestPause(60s);
+    CircuitBreaker breaker{Random(3)};
+    breaker.setMaxOpenDuration(60s);
     for (TimePoint now = start; now < start + 30s; now += 1ms) {
         if (breaker.isClosed(now)) {
             breaker.onFailure(now);
         }
     }
-    breaker.onOthersAnswered(start + 30s, 1s);
+    breaker.onPeersAnswered(start + 30s, 1s);
     BOOST_TEST(breaker.isClosed(start + 31s));
 }
 
--- a/tests/coordination/test_freshness_gate.cpp
+++ b/tests/coordination/test_freshness_gate.cpp
@@ -25,7 +25,7 @@
     return gate;
 }
 
-PeerVouch vouch(std::string_view host, std::int64_t version = 5, bool isCaughtUp = true, std::uint64_t incarnation = 1)
+PeerVersionReport report(std::string_view host, std::int64_t version = 5, bool isCaughtUp = true, std::uint64_t incarnation = 1)
 {
     return {std::string(host), incarnation, version, isCaughtUp};
 }
@@ -62,7 +62,7 @@
     FreshnessGate gate = makeGate();
     gate.onStoreConfirmed(5, at(0));
     for (int second = 1; second < 3'600; ++second) {
-        gate.onPeerVouch(vouch("b"), at(second));
+        gate.onPeerVersionReport(report("b"), at(second));
         BOOST_REQUIRE(gate.isFresh(at(second + 2.9)));
     }
     BOOST_TEST(!gate.isFresh(at(3'602)));
@@ -74,7 +74,7 @@
     {
         const char *what;
         HostLists lists;
-        std::vector<FreshnessGate::TimedVouch> vouches;
+        std::vector<FreshnessGate::TimedVersionReport> reports;
         bool isFresh; ///< At 10 s, the store's last word being from 0 s.
     };
 
@@ -83,29 +83,29 @@
     const HostLists growing{{"a", "b", "c", "d"}, {"a", "b", "c"}};
     const Case cases[] = {
         {"no word", three, {}, false},
-        {"one of three", three, {{vouch("b"), at(8)}}, true},
-        {"too old", three, {{vouch("b"), at(7)}}, false},
-        {"a newer entry is held there", three, {{vouch("b", 6), at(8)}}, false},
-        {"one knows better, one does not", three, {{vouch("b", 6), at(8)}, {vouch("c", 5), at(8)}}, true},
-        {"an overtaken answer", three, {{vouch("b", 6), at(9)}, {vouch("b", 5), at(8)}}, false},
-        {"not caught up", three, {{vouch("b", 5, false), at(8)}}, false},
-        {"not listed", three, {{vouch("x"), at(8)}}, false},
-        {"its own echo", three, {{vouch("a"), at(8)}}, false},
-        {"its later incarnation has forgotten", three, {{vouch("b", 0, false, 2), at(8)}, {vouch("b", 5, true, 1), at(9)}}, false},
-        {"two of four peers are asked for", five, {{vouch("b"), at(8)}}, false},
-        {"two of four peers", five, {{vouch("b"), at(8)}, {vouch("c"), at(9)}}, true},
+        {"one of three", three, {{report("b"), at(8)}}, true},
+        {"too old", three, {{report("b"), at(7)}}, false},
+        {"a newer entry is held there", three, {{report("b", 6), at(8)}}, false},
+        {"one knows better, one does not", three, {{report("b", 6), at(8)}, {report("c", 5), at(8)}}, true},
+        {"an overtaken answer", three, {{report("b", 6), at(9)}, {report("b", 5), at(8)}}, false},
+        {"not caught up", three, {{report("b", 5, false), at(8)}}, false},
+        {"not listed", three, {{report("x"), at(8)}}, false},
+        {"its own echo", three, {{report("a"), at(8)}}, false},
+        {"its later incarnation has forgotten", three, {{report("b", 0, false, 2), at(8)}, {report("b", 5, true, 1), at(9)}}, false},
+        {"two of four peers are asked for", five, {{report("b"), at(8)}}, false},
+        {"two of four peers", five, {{report("b"), at(8)}, {report("c"), at(9)}}, true},
         {"two hosts: both", {{"a", "b"}, {}}, {}, false},
         {"one host: itself", {{"a"}, {}}, {}, true},
-        {"old majority only", growing, {{vouch("b"), at(8)}}, false},
-        {"new majority only", {{"a", "b", "c"}, {"a", "b", "c", "d"}}, {{vouch("b"), at(8)}}, false},
-        {"both majorities", growing, {{vouch("b"), at(8)}, {vouch("d"), at(8)}}, true},
-        {"itself not listed", {{"b", "c"}, {}}, {{vouch("b"), at(9)}, {vouch("c"), at(9)}}, false},
-        {"no list: the store alone", {}, {{vouch("b"), at(9)}, {vouch("c"), at(9)}}, false},
+        {"old majority only", growing, {{report("b"), at(8)}}, false},
+        {"new majority only", {{"a", "b", "c"}, {"a", "b", "c", "d"}}, {{report("b"), at(8)}}, false},
+        {"both majorities", growing, {{report("b"), at(8)}, {report("d"), at(8)}}, true},
+        {"itself not listed", {{"b", "c"}, {}}, {{report("b"), at(9)}, {report("c"), at(9)}}, false},
+        {"no list: the store alone", {}, {{report("b"), at(9)}, {report("c"), at(9)}}, false},
     };
     for (const Case &row : cases) {
         FreshnessGate gate = makeGate(row.lists);
         gate.onStoreConfirmed(5, at(0));
-        gate.onPeerVouches(row.vouches);
+        gate.onPeerVersionReports(row.reports);
         BOOST_TEST(gate.isFresh(at(10)) == row.isFresh, row.what);
     }
 }
@@ -116,26 +116,26 @@
     // they would honour the key again.
     FreshnessGate gate("a", window, at(0));
     gate.setHosts({{"a", "b", "c"}, {}});
-    gate.onPeerVouch(vouch("b", 0, false), at(1));
-    gate.onPeerVouch(vouch("c", 0, false), at(1));
+    gate.onPeerVersionReport(report("b", 0, false), at(1));
+    gate.onPeerVersionReport(report("c", 0, false), at(1));
     BOOST_TEST(!gate.isCaughtUp());
     gate.setVersionHeld(5);
-    gate.onPeerVouch(vouch("b", 5), at(2));
+    gate.onPeerVersionReport(report("b", 5), at(2));
     FreshnessGate relayed = gate;
-    relayed.onPeerVouch(vouch("c", 5, true, 0), at(2));
+    relayed.onPeerVersionReport(report("c", 5, true, 0), at(2));
     BOOST_TEST(relayed.isCaughtUp());
     relayed = FreshnessGate("a", window, at(0));
     relayed.setHosts({{"a", "b", "c"}, {}});
-    relayed.onPeerVouch(vouch("b", 0), at(2));
-    relayed.onPeerVouch(vouch("c", 0, true, 0), at(-1)); // True before the start, and maybe no longer.
+    relayed.onPeerVersionReport(report("b", 0), at(2));
+    relayed.onPeerVersionReport(report("c", 0, true, 0), at(-1)); // True before the start, and maybe no longer.
     BOOST_TEST(!relayed.isCaughtUp());
     BOOST_TEST(!gate.isCaughtUp()); // Itself does not count yet, so one of three is none.
-    gate.onPeerVouch(vouch("c", 5), at(3));
+    gate.onPeerVersionReport(report("c", 5), at(3));
     BOOST_TEST(gate.isCaughtUp());
     BOOST_TEST(gate.isFresh(at(5.9)));
     FreshnessGate other("a", window, at(0));
     other.setHosts({{"a", "b"}, {}});
-    other.onPeerVouch(vouch("b", 0), at(1));
+    other.onPeerVersionReport(report("b", 0), at(1));
     BOOST_TEST(!other.isCaughtUp()); // Two hosts: only the store can tell.
     other.onStoreConfirmed(0, at(1));
     BOOST_TEST(other.isCaughtUp());
--- a/tests/coordination/test_freshness_model.cpp
+++ b/tests/coordination/test_freshness_model.cpp
@@ -129,7 +129,7 @@
     }
     for (std::size_t peer = 0; peer < hostCount; ++peer) {
         if (host.rows[peer].askedTick != none) {
-            gate.onPeerVouch({nameOf(peer), 1, host.rows[peer].version, true}, timeOf(host.rows[peer].askedTick));
+            gate.onPeerVersionReport({nameOf(peer), 1, host.rows[peer].version, true}, timeOf(host.rows[peer].askedTick));
         }
     }
     return {gate.isCaughtUp(), gate.isFresh(nowOf(world))};
@@ -334,12 +334,12 @@
             for (const std::int16_t since : host.sinceMoment) {
                 if (since != none) {
                     ++version;
-                    tracker.onPeerVouch({nameOf(index), 1, version, true}, timeOfMoment(since), timeOfMoment(since));
+                    tracker.onPeerVersionReport({nameOf(index), 1, version, true}, timeOfMoment(since), timeOfMoment(since));
                 }
             }
             if (host.askedMoment != none) {
                 const TimePoint asked = weakening_ == Weakening::GatheredHolders ? nowOf(world) : timeOfMoment(host.askedMoment);
-                tracker.onPeerVouch({nameOf(index), 1, version, version > 0}, asked, asked);
+                tracker.onPeerVersionReport({nameOf(index), 1, version, version > 0}, asked, asked);
             }
         }
         tracker.advance(nowOf(world));
--- a/tests/coordination/test_in_force_tracker.cpp
+++ b/tests/coordination/test_in_force_tracker.cpp
@@ -27,7 +27,7 @@
 
     void hold(std::string_view host, double seconds, std::int64_t version = 1, bool isCaughtUp = true, std::uint64_t incarnation = 1)
     {
-        tracker_.onPeerVouch({std::string(host), incarnation, version, isCaughtUp}, at(seconds), at(seconds));
+        tracker_.onPeerVersionReport({std::string(host), incarnation, version, isCaughtUp}, at(seconds), at(seconds));
     }
 
     bool isInForce(double seconds)
@@ -99,13 +99,13 @@
     InForceTracker tracker(std::chrono::seconds(3));
     tracker.setHosts({{"a", "b", "c", "d", "e"}, {}});
     tracker.track(1, at(0));
-    tracker.onPeerVouch({"c", 1, 1, true}, at(1), at(10));
+    tracker.onPeerVersionReport({"c", 1, 1, true}, at(1), at(10));
     for (const char *host : {"a", "b"}) {
-        tracker.onPeerVouch({host, 1, 1, true}, at(5), at(5));
+        tracker.onPeerVersionReport({host, 1, 1, true}, at(5), at(5));
     }
     tracker.advance(at(60));
     BOOST_TEST(!tracker.isInForce(1));
-    tracker.onPeerVouch({"d", 1, 1, true}, at(5), at(5));
+    tracker.onPeerVersionReport({"d", 1, 1, true}, at(5), at(5));
     tracker.advance(at(60));
     BOOST_TEST(tracker.isInForce(1));
 }
@@ -151,7 +151,7 @@
     for (std::int64_t sequence = 1; sequence <= 1'000; ++sequence) {
         tracker.track(sequence, at(0));
     }
-    tracker.onPeerVouch({"a", 1, 1'000, true}, at(1), at(1));
+    tracker.onPeerVersionReport({"a", 1, 1'000, true}, at(1), at(1));
     tracker.advance(at(1));
     BOOST_TEST(tracker.isInForce(1));
     BOOST_TEST(tracker.inForceVersion() == 1'000);
--- a/tests/coordination/test_order_scheduler.cpp
+++ b/tests/coordination/test_order_scheduler.cpp
@@ -166,7 +166,7 @@
 
     void onHost(std::size_t i, Duration delay, const std::function<void()> &action)
     {
-        time_.later(delay, [this, i, action] {
+        time_.schedule(delay, [this, i, action] {
             if (hosts_[i].awake > now()) {
                 onHost(i, hosts_[i].awake - now(), action);
             } else {
@@ -194,7 +194,7 @@
             host.lease->release(now());
         }
         for (const std::string &target : plan.reads) {
-            time_.later(delay(), [this, i, target] {
+            time_.schedule(delay(), [this, i, target] {
                 const EngineState state = engines[target].read(now());
                 onHost(i, delay(), [this, i, target, state] { hosts_[i].scheduler.onState(target, state, now()); });
             });
@@ -222,7 +222,7 @@
         if (isLost()) {
             return;
         }
-        time_.later(delay(), [this, i, order] {
+        time_.schedule(delay(), [this, i, order] {
             const OrderOutcome outcome = engines[order.target].follow(order, now());
             if (!isLost()) {
                 onHost(i, delay(), [this, i, order, outcome] { hosts_[i].scheduler.onOutcome(order, outcome, now()); });
--- a/tests/coordination/test_share_windows.cpp
+++ b/tests/coordination/test_share_windows.cpp
@@ -100,8 +100,8 @@
         for (std::size_t i = 0; i < poolSize; ++i) {
             start(i);
         }
-        time_.later(400ms, [this] { change(); });
-        time_.later(300ms, [this] { fault(); });
+        time_.schedule(400ms, [this] { change(); });
+        time_.schedule(300ms, [this] { fault(); });
     }
 
     void run(Duration time)
@@ -153,7 +153,7 @@
     void onHost(std::size_t i, Duration delay, std::function<void(ShareLedger &)> action)
     {
         const int incarnation = hosts_[i].incarnation;
-        time_.later(delay, [this, i, incarnation, action = std::move(action)] {
+        time_.schedule(delay, [this, i, incarnation, action = std::move(action)] {
             if (hosts_[i].incarnation != incarnation) {
                 return;
             }
@@ -212,7 +212,7 @@
         const std::int64_t before = inForce_;
         inForce_ = version;
         limit(before, inForce_);
-        time_.later(debitLifetime, [this, version] { limit(version, inForce_); });
+        time_.schedule(debitLifetime, [this, version] { limit(version, inForce_); });
     }
 
     void limit(std::int64_t first, std::int64_t last)
@@ -253,7 +253,7 @@
             configuration_.hosts.push_back(host);
         }
         log_.push_back(configuration_);
-        time_.later(std::chrono::milliseconds(50 + below(isQuiet_ ? 8000 : 3000)), [this] { change(); });
+        time_.schedule(std::chrono::milliseconds(50 + below(isQuiet_ ? 8000 : 3000)), [this] { change(); });
     }
 
     void fault()
@@ -267,7 +267,7 @@
             start(i);
         }
         loss_ = below(4) * 10;
-        time_.later(std::chrono::milliseconds(100 + below(isQuiet_ ? 6000 : 1500)), [this] { fault(); });
+        time_.schedule(std::chrono::milliseconds(100 + below(isQuiet_ ? 6000 : 1500)), [this] { fault(); });
     }
 
     void arrive(std::size_t i)
@@ -340,7 +340,7 @@
             }
             const Duration delay = std::chrono::microseconds(chance(10) ? below(3'000'000) : 500 + below(chance(30) ? 900'000 : 5000));
             // A message outlives the process it was meant for: the next one on that host gets it.
-            time_.later(delay, [this, target, deliver] { onHost(target, 0s, [target, deliver](ShareLedger &ledger) { deliver(target, ledger); }); });
+            time_.schedule(delay, [this, target, deliver] { onHost(target, 0s, [target, deliver](ShareLedger &ledger) { deliver(target, ledger); }); });
         }
     }
 
--- a/tests/coordination/test_ticket_committer.cpp
+++ b/tests/coordination/test_ticket_committer.cpp
@@ -67,7 +67,7 @@
 std::int64_t entriesIn(FaultyStore &store)
 {
     store.setFaults({});
-    store.deliverLateWrites();
+    store.applyPendingWrites();
     return static_cast<std::int64_t>(store.list("t/config/log/").entries.size());
 }
 
@@ -92,7 +92,7 @@
         }
         store_.setFaults({});
         store_.setBeforeWrite({});
-        store_.deliverLateWrites();
+        store_.applyPendingWrites();
         check();
     }
 
@@ -106,9 +106,9 @@
     Fault drawFault()
     {
         if (randomBelow(random_, 8) == 0) {
-            store_.deliverLateWrites();
+            store_.applyPendingWrites();
         }
-        constexpr Fault faults[] = {Fault::Down, Fault::LostAfterWrite, Fault::LostBeforeWrite, Fault::ArrivesLater};
+        constexpr Fault faults[] = {Fault::Down, Fault::LostAfterWrite, Fault::LostBeforeWrite, Fault::DelayedWrite};
         return randomBelow(random_, 3) == 0 ? faults[randomBelow(random_, 4)] : Fault::None;
     }
 
@@ -235,10 +235,10 @@
     const std::vector<Case> cases{
         {{Fault::None, Fault::LostAfterWrite}, ResultCode::Ok, ResultCode::TicketAlreadyAccepted},
         {{Fault::None, Fault::LostBeforeWrite}, ResultCode::Ok, ResultCode::TicketAlreadyAccepted},
-        {{Fault::None, Fault::ArrivesLater}, ResultCode::Ok, ResultCode::TicketAlreadyAccepted},
+        {{Fault::None, Fault::DelayedWrite}, ResultCode::Ok, ResultCode::TicketAlreadyAccepted},
         {{Fault::None, Fault::LostAfterWrite, Fault::Down}, ResultCode::StoreAnswerLost, ResultCode::TicketAlreadyAccepted},
         {{Fault::None, Fault::LostBeforeWrite, Fault::Down}, ResultCode::StoreAnswerLost, ResultCode::Ok},
-        {{Fault::None, Fault::ArrivesLater, Fault::None, Fault::Down}, ResultCode::StoreAnswerLost, ResultCode::Ok},
+        {{Fault::None, Fault::DelayedWrite, Fault::None, Fault::Down}, ResultCode::StoreAnswerLost, ResultCode::Ok},
         {{Fault::None, Fault::Down}, ResultCode::StoreUnavailable, ResultCode::Ok},
         {{Fault::Down}, ResultCode::StoreUnavailable, ResultCode::Ok},
     };
@@ -285,9 +285,9 @@
     FaultyStore store;
     Committing host(store);
     host.commit(teamTicket(1, "desk", 1), "a");
-    const std::size_t before = store.reads();
+    const std::size_t before = store.readCount();
     BOOST_TEST((host.logStore.catchUp(host.log) == StoreStatus::Ok));
-    BOOST_TEST(store.reads() - before == 1);
+    BOOST_TEST(store.readCount() - before == 1);
 }
 
 BOOST_AUTO_TEST_CASE(acceptedTicketsNeverRevertWhateverTheStoreLoses)
--- a/tests/coordination/test_vouch_table.cpp
+++ b/tests/coordination/test_version_report_table.cpp
@@ -4,7 +4,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "coordination/vouch_table.h"
+#include "coordination/version_report_table.h"
 #include "core/random.h"
 
 using namespace Lovageloft;
@@ -34,7 +34,7 @@
             names.push_back("host-" + std::to_string(1'000 + i));
         }
         for (const std::string &name : names) {
-            Host &host = hosts_.emplace_back(Host{name, VouchTable(), FreshnessGate(name, window, at(-window)), {at(-window)}});
+            Host &host = hosts_.emplace_back(Host{name, VersionReportTable(), FreshnessGate(name, window, at(-window)), {at(-window)}});
             host.table.setHosts(1, names);
             host.gate.setHosts({names, {}});
             host.gate.onStoreConfirmed(0, at(Duration::zero()));
@@ -87,7 +87,7 @@
     struct Host
     {
         std::string name;
-        VouchTable table;
+        VersionReportTable table;
         FreshnessGate gate;
         std::vector<TimePoint> learnedAt; ///< By entry: when this host came to hold it.
         bool isCutOff = false;
@@ -100,7 +100,7 @@
         std::size_t peer = 0;
         Step step = Step::Ask;
         Duration askedAt{};
-        VouchDigest digest;
+        VersionReportDigest digest;
 
         bool operator<(const Event &other) const
         {
@@ -124,8 +124,8 @@
             break;
         case Step::Answer:
             if (!host.isCutOff && !peer.isCutOff) {
-                const PeerVouch own{peer.name, 1, peer.gate.versionHeld(), peer.gate.isCaughtUp()};
-                VouchDigest digest = peer.table.digest(own, at(event.time));
+                const PeerVersionReport own{peer.name, 1, peer.gate.versionHeld(), peer.gate.isCaughtUp()};
+                VersionReportDigest digest = peer.table.digest(own, at(event.time));
                 bytes_ += 28 + 4 * sizeof(std::int64_t) + own.host.size() + digest.ages.size();
                 events_.push({arrival, event.host, event.peer, Step::Receive, event.askedAt, std::move(digest)});
             }
@@ -151,14 +151,14 @@
 
     void receive(Host &host, const Event &event)
     {
-        const auto vouches = host.table.onDigest(event.digest, at(event.askedAt));
-        for (const auto &[vouch, trueAt] : vouches) {
-            const auto &known = hosts_[static_cast<std::size_t>(std::stoul(vouch.host.substr(5))) - 1'000].learnedAt;
-            const auto next = static_cast<std::size_t>(vouch.versionHeld) + 1;
+        const auto reports = host.table.onDigest(event.digest, at(event.askedAt));
+        for (const auto &[report, trueAt] : reports) {
+            const auto &known = hosts_[static_cast<std::size_t>(std::stoul(report.host.substr(5))) - 1'000].learnedAt;
+            const auto next = static_cast<std::size_t>(report.versionHeld) + 1;
             // It held no newer entry at that time.
             BOOST_REQUIRE(next >= known.size() || known[next] >= trueAt);
         }
-        host.gate.onPeerVouches(vouches);
+        host.gate.onPeerVersionReports(reports);
     }
 
     Random random_;
@@ -172,7 +172,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(VouchTableTest)
+BOOST_AUTO_TEST_SUITE(VersionReportTableTest)
 
 BOOST_AUTO_TEST_CASE(aRelayedVouchIsNeverWorthMoreThanItWas)
 {
@@ -187,12 +187,15 @@
 
 BOOST_AUTO_TEST_CASE(agesAreRoundedUp)
 {
-    VouchTable table;
+    VersionReportTable table;
     table.setHosts(1, {"a", "b"});
     table.onDigest({{"b", 1, 0, true}, 1, 0, {255, 255}}, at(Duration::zero()));
-    const PeerVouch own{"a", 1, 0, true};
-    const std::pair<Duration, int> cases[] = {
-        {Duration::zero(), 0}, {Duration(1), 1}, {VouchTable::ageUnit, 1}, {VouchTable::ageUnit * 254, 254}, {VouchTable::ageUnit * 254 + Duration(1), 255}};
+    const PeerVersionReport own{"a", 1, 0, true};
+    const std::pair<Duration, int> cases[] = {{Duration::zero(), 0},
+                                              {Duration(1), 1},
+                                              {VersionReportTable::ageUnit, 1},
+                                              {VersionReportTable::ageUnit * 254, 254},
+                                              {VersionReportTable::ageUnit * 254 + Duration(1), 255}};
     for (const auto &[age, units] : cases) {
         BOOST_TEST(static_cast<int>(table.digest(own, at(age)).ages[1]) == units);
     }
--- a/tests/coordination/virtual_time.h
+++ b/tests/coordination/virtual_time.h
@@ -25,7 +25,7 @@
         return now_;
     }
 
-    void later(Duration delay, std::function<void()> action)
+    void schedule(Duration delay, std::function<void()> action)
     {
         events_.push({now_ + delay, ++order_, std::move(action)});
     }
--- a/tests/gateway/test_crash_guard.cpp
+++ b/tests/gateway/test_crash_guard.cpp
@@ -129,7 +129,7 @@
 BOOST_DATA_TEST_CASE(aCrashingRequestThatComesAtAnyHostEndsThreeTargets, boost::unit_test::data::make({1, 9, 69, 295}), hosts)
 {
     Fleet fleet(static_cast<std::size_t>(hosts), 0, 1);
-    BOOST_TEST(fleet.sendsIn(500) == static_cast<int>(CrashQuarantine::crashLimit));
+    BOOST_TEST(fleet.sendsIn(500) == static_cast<int>(CrashQuarantine::maxCrashes));
 }
 
 BOOST_AUTO_TEST_CASE(lostDatagramsHostsThatAreAwayAndRestartsCostFewTargetsMore)
@@ -145,7 +145,7 @@
             sends += fleet.sendsIn(5);
             fleet.restartAny();
         }
-        BOOST_TEST(sends <= static_cast<int>(CrashQuarantine::crashLimit) + mostAfterThird, "seed " << seed << ": " << sends);
+        BOOST_TEST(sends <= static_cast<int>(CrashQuarantine::maxCrashes) + mostAfterThird, "seed " << seed << ": " << sends);
     }
 }
 
@@ -153,7 +153,7 @@
 BOOST_AUTO_TEST_CASE(aHostThatMissedTheQuarantineIsToldWhenItReports)
 {
     Fleet fleet(9, 1, 2); // All datagrams are lost: each host counts alone.
-    BOOST_TEST(fleet.sendsIn(2'000) == 9 * static_cast<int>(CrashQuarantine::crashLimit));
+    BOOST_TEST(fleet.sendsIn(2'000) == 9 * static_cast<int>(CrashQuarantine::maxCrashes));
     std::vector<std::string> told;
     CrashGuard home("home",
                     {[](const std::string &, const CrashReport &) {},
--- a/tests/gateway/test_duties.cpp
+++ b/tests/gateway/test_duties.cpp
@@ -209,16 +209,16 @@
             return {StoreStatus::NotFound, {}, 0};
         }
         StoreListReply reply{StoreStatus::Ok, std::exchange(entries_, {}), afterRevision + 1, 3s};
-        reply.away = away_;
+        reply.outage = outage_;
         return reply;
     }
 
-    /// `away`: for how long the store had answered nobody.
-    void tell(const StoreEntry &entry, Duration away)
+    /// `outage`: for how long the store had answered nobody.
+    void tell(const StoreEntry &entry, Duration outage)
     {
         const std::lock_guard lock(mutex_);
         entries_.push_back(entry);
-        away_ = away;
+        outage_ = outage;
         told_.notify_all();
     }
 
@@ -238,7 +238,7 @@
     std::int64_t position_ = 2;
     bool isListDue_ = false;
     std::vector<StoreEntry> entries_;
-    Duration away_{};
+    Duration outage_{};
 };
 
 struct ToldFixture
--- a/tests/gateway/test_outage_in_pieces.cpp
+++ b/tests/gateway/test_outage_in_pieces.cpp
@@ -29,5 +29,5 @@
     setDown(false);
     now += 100ms;
     relay.confirm("x/seed", seed);
-    BOOST_TEST((relay.list("x/").away >= Duration(5s)));
+    BOOST_TEST((relay.list("x/").outage >= Duration(5s)));
 }
--- a/tests/gateway/test_relayed_store.cpp
+++ b/tests/gateway/test_relayed_store.cpp
@@ -206,9 +206,9 @@
     now += 100ms;
     store.memory.compareAndDelete("x/seed", seed);
     const StoreListReply cut = relay.list("x/");
-    BOOST_TEST((cut.away == Duration(100ms)));
+    BOOST_TEST((cut.outage == Duration(100ms)));
     BOOST_REQUIRE(told.size() == 1U);
-    BOOST_TEST((told.back().away == Duration(100ms)));
+    BOOST_TEST((told.back().outage == Duration(100ms)));
     BOOST_TEST((told.back().silence >= 3s));
 
     store.isDown = true;
@@ -217,9 +217,9 @@
     store.isDown = false;
     relay.confirm("x/seed", seed); // Another duty is the first to be answered.
     now += 100ms;
-    BOOST_TEST((relay.list("x/").away >= Duration(5s)));
-    BOOST_TEST((told.back().away >= Duration(5s)));
-    BOOST_TEST((relay.list("x/").away == Duration::zero()));
+    BOOST_TEST((relay.list("x/").outage >= Duration(5s)));
+    BOOST_TEST((told.back().outage >= Duration(5s)));
+    BOOST_TEST((relay.list("x/").outage == Duration::zero()));
 }
 
 BOOST_AUTO_TEST_CASE(withoutARelayTheStoreIsWatchedItself)
--- a/tests/platform/test_datagrams.cpp
+++ b/tests/platform/test_datagrams.cpp
@@ -266,7 +266,7 @@
     BOOST_TEST(contains(last, "\"code\":2010"));
     BOOST_TEST(contains(last, "not_run"));
     BOOST_TEST(other.reports >= 1);
-    BOOST_TEST(crashes <= static_cast<int>(CrashQuarantine::crashLimit));
+    BOOST_TEST(crashes <= static_cast<int>(CrashQuarantine::maxCrashes));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/test_store_era.cpp
+++ b/tests/platform/test_store_era.cpp
@@ -18,9 +18,9 @@
     std::int64_t writeAndRestore()
     {
         store.compareAndSwap("x/old", 0, "old", 0);
-        const auto copy = standIn.memory().copy();
+        const auto snapshot = standIn.memory().snapshot();
         const std::int64_t lost = store.compareAndSwap("x/a", 0, "lost", 0).entry.revision;
-        standIn.memory().restore(*copy);
+        standIn.memory().restore(*snapshot);
         standIn.memory().compareAndSwap("x/a", 0, "other", 0);
         return lost;
     }
@@ -99,7 +99,7 @@
     options.margin = 300ms;
     options.settleTime = 300ms;
     TimePoint now{1h};
-    const auto copy = standIn.memory().copy();
+    const auto snapshot = standIn.memory().snapshot();
     LeaseHolder first(store, "x/leader", "first", options);
     KvStore otherStore{{.address = {"127.0.0.1", standIn.port()}, .timeout = 300ms}};
     LeaseHolder second(otherStore, "x/leader", "second", options);
@@ -114,12 +114,12 @@
     BOOST_REQUIRE(first.isHeld(now));
     second.step(now);
     const std::int64_t token = first.token();
-    standIn.memory().restore(*copy);
+    standIn.memory().restore(*snapshot);
     store.get("x/any"); // Any answer tells.
     BOOST_TEST(!first.isHeld(now));
     otherStore.get("x/any");
     second.step(now);
-    second.wake(now);
+    second.pollNow(now);
     run(second);
     BOOST_REQUIRE(second.isHeld(now));
     BOOST_TEST(second.token() > token);
--- a/tests/stand_ins/stand_in_kv_store.cpp
+++ b/tests/stand_ins/stand_in_kv_store.cpp
@@ -162,7 +162,7 @@
 std::string StandInKvStore::eraField()
 {
     const std::lock_guard lock(mutex_);
-    const std::string text = eraText_.value_or(std::to_string(1 + memory_.restores()));
+    const std::string text = eraText_.value_or(std::to_string(1 + memory_.restoreCount()));
     return text.empty() ? text : "Store-Era: " + text + "\r\n";
 }
 
