--- a/decision/request_scheduler.cpp
+++ b/decision/request_scheduler.cpp
@@ -35,7 +35,7 @@
         status.incarnation = engine.incarnation;
         status.isServing = engine.isServing;
         status.isRemote = engine.isRemote;
-        status.lastBegin = engine.lastBegin;
+        status.firstTokenDeadline = engine.firstTokenDeadline;
         status.prefillTokensPerSecond = engine.prefillTokensPerSecond;
         status.batchLimit = engine.batchLimit;
         status.cacheTokens = engine.cacheTokens;
@@ -146,7 +146,7 @@
         return std::nullopt;
     }
     Reason reason;
-    if (request.reachedTarget && !budget.tryRetry(now, reason)) {
+    if (request.reachedTarget && !budget.tryAcquire(now, reason)) {
         return refuse(request.id, reason, retryBudgetRetry);
     }
     return std::nullopt;
@@ -162,7 +162,7 @@
 {
     std::vector<SchedulerOutcome> outcomes;
     const KeyId key = keys_.idOf(std::string(team) + '\n' + std::string(keyId));
-    for (const QueuedRequest &request : queue_.removeKey(teams_.idOf(team), key, now)) {
+    for (const QueuedRequest &request : queue_.removeByKey(teams_.idOf(team), key, now)) {
         outcomes.emplace_back(refuse(request.id, {ResultCode::KeyWithdrawn, {}}, {}));
     }
     return outcomes;
@@ -203,7 +203,7 @@
     const PlacementRequest placed = placementRequest(request);
     for (auto &[index, engine] : engines_) {
         if (engine.model == queued.model) {
-            placement_.setOpen(index, engine.window.canStart(1));
+            placement_.setWindowOpen(index, engine.window.canStart(1));
         }
     }
     choice.engine = placement_.place(placed, now, random, choice.reason);
@@ -255,7 +255,7 @@
     Engine &engine = engines_[decision.engine];
     inFlight_[queued.id] = {dispatch, decision.engine, engine.serial, engine.window.start(missed, now)};
     SchedulerAssignment assignment{
-        queued.id, std::string(placement_.engineName(decision.engine)), decision.expectedCachedTokens, decision.expectedFirstToken, 0, 0, {}, {}};
+        queued.id, std::string(placement_.engineName(decision.engine)), decision.expectedCachedTokens, decision.expectedFirstTokenSeconds, 0, 0, {}, {}};
     assignment.workTokens = decision.workTokens;
     assignment.newTokens = decision.newTokens;
     for (const VersionedChain &chain : placed.chains) {
@@ -289,11 +289,11 @@
     return {id, std::move(reason), retryAfter};
 }
 
-void RequestScheduler::onDispatchedElsewhere(
+void RequestScheduler::onDispatchedByPeer(
     std::string_view engine, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now)
 {
     if (const auto index = placement_.findEngine(engine)) {
-        placement_.onDispatchedElsewhere(*index, workTokens, newTokens, blocks, now);
+        placement_.onDispatchedByPeer(*index, workTokens, newTokens, blocks, now);
     }
 }
 
@@ -309,7 +309,7 @@
     }
 }
 
-void RequestScheduler::onEnded(RequestId id, SchedulerEnd end, TimePoint now)
+void RequestScheduler::onEnded(RequestId id, DispatchResult end, TimePoint now)
 {
     const auto entry = inFlight_.find(id);
     if (entry == inFlight_.end()) {
@@ -318,14 +318,14 @@
     InFlight ended = entry->second;
     inFlight_.erase(entry);
     switch (end) {
-    case SchedulerEnd::Finished:
+    case DispatchResult::Finished:
         placement_.onFinished(ended.dispatch, now);
         break;
-    case SchedulerEnd::Failed:
+    case DispatchResult::Failed:
         placement_.onFailed(ended.dispatch, now);
         break;
-    case SchedulerEnd::Declined:
-    case SchedulerEnd::Cancelled:
+    case DispatchResult::Declined:
+    case DispatchResult::Cancelled:
         placement_.onCancelled(ended.dispatch);
         break;
     }
@@ -333,26 +333,26 @@
     if (engine == nullptr) {
         return;
     }
-    if (end == SchedulerEnd::Failed || end == SchedulerEnd::Declined) {
+    if (end == DispatchResult::Failed || end == DispatchResult::Declined) {
         engine->window.onFailed(ended.window, now);
     }
     engine->window.onFinished(ended.window, now);
 }
 
-bool RequestScheduler::canTryElsewhere(RequestId id, TimePoint now)
+bool RequestScheduler::canRetryElsewhere(RequestId id, TimePoint now)
 {
     const auto entry = inFlight_.find(id);
     const Engine *present = entry != inFlight_.end() ? engineOf(entry->second) : nullptr;
     if (present == nullptr) {
         return true; // Its engine is gone from the list: nothing is to be expected there.
     }
-    return budgetOf(present->model).hasRoom(now) && std::any_of(engines_.begin(), engines_.end(), [&](const auto &item) {
+    return budgetOf(present->model).canRetry(now) && std::any_of(engines_.begin(), engines_.end(), [&](const auto &item) {
                const Engine &engine = item.second;
                return &engine != present && engine.model == present->model && engine.isServing && engine.window.canStart(1);
            });
 }
 
-void RequestScheduler::onSilent(RequestId id, TimePoint now)
+void RequestScheduler::onStalled(RequestId id, TimePoint now)
 {
     const auto entry = inFlight_.find(id);
     if (Engine *engine = entry != inFlight_.end() ? engineOf(entry->second) : nullptr) {
--- a/tests/decision/test_homes_of_prompts.cpp
+++ b/tests/decision/test_prefix_affinity.cpp
@@ -26,8 +26,8 @@
     explicit Fleet(std::size_t remoteCount = 0)
     {
         PlacementPolicy policy;
-        policy.remoteWait = 0.002;
-        policy.viewBlocks = 65'536;
+        policy.remoteWaitPerKilobyte = 0.002;
+        policy.cacheViewBlocks = 65'536;
         policy.blockTokens = partBlockTokens;
         std::vector<SchedulerEngine> engines;
         for (std::size_t i = 0; i < engineCount; ++i) {
@@ -70,7 +70,7 @@
                     engines.insert(assignment->engine);
                     const TimePoint firstToken = now_ + fromSeconds(assignment->workTokens / tokensPerSecond);
                     host.onFirstToken(assignment->id, std::nullopt, firstToken);
-                    host.onEnded(assignment->id, SchedulerEnd::Finished, firstToken + 500ms);
+                    host.onEnded(assignment->id, DispatchResult::Finished, firstToken + 500ms);
                 }
             }
             now_ += 2s;
@@ -87,7 +87,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(HomesOfPromptsTest)
+BOOST_AUTO_TEST_SUITE(PrefixAffinityTest)
 
 BOOST_AUTO_TEST_CASE(promptsWithMuchOfTheirOwnGoWhereTheirSharedPartIs)
 {
