--- a/gateway/cache_store_duty.cpp
+++ b/gateway/cache_store_duty.cpp
@@ -60,7 +60,7 @@
     if (connection == nullptr) {
         return false;
     }
-    const HttpField wait = format_.holdQuestion(heldTime);
+    const HttpField wait = format_.longPollField(heldTime);
     return connection->call("GET", format_.cacheEventsPath(), {}, BootClock::now() + answerLimit, {&wait, 1}).has_value();
 }
 
--- a/gateway/configuration_duty.cpp
+++ b/gateway/configuration_duty.cpp
@@ -48,7 +48,7 @@
     watchFrom_ = reply.revision;
     const auto heard = hearing(BootClock::now(), reply.silence);
     for (const StoreEntry &entry : reply.entries) {
-        feed_.take(entry, sentAt, heard);
+        feed_.apply(entry, sentAt, heard);
     }
     hasRead_ = true;
     return true;
@@ -68,7 +68,7 @@
     watchFrom_ = std::max(watchFrom_, reply.revision);
     const auto heard = hearing(BootClock::now(), reply.silence);
     for (const StoreEntry &entry : reply.entries) {
-        feed_.take(entry, sentAt - reply.age, heard);
+        feed_.apply(entry, sentAt - reply.age, heard);
     }
     return true;
 }
--- a/gateway/configuration_feed.cpp
+++ b/gateway/configuration_feed.cpp
@@ -11,12 +11,12 @@
 {
 }
 
-void ConfigurationFeed::take(const StoreEntry &entry, TimePoint provenAt)
+void ConfigurationFeed::apply(const StoreEntry &entry, TimePoint provenAt)
 {
-    take(entry, provenAt, {});
+    apply(entry, provenAt, {});
 }
 
-void ConfigurationFeed::take(const StoreEntry &entry, TimePoint provenAt, const Hearing &hearing)
+void ConfigurationFeed::apply(const StoreEntry &entry, TimePoint provenAt, const Hearing &hearing)
 {
     const std::lock_guard lock(mutex_);
     if (entry.key == records_.configurationKey()) {
@@ -26,7 +26,7 @@
     }
 }
 
-void ConfigurationFeed::prove(std::int64_t revision, TimePoint provenAt)
+void ConfigurationFeed::confirm(std::int64_t revision, TimePoint provenAt)
 {
     const std::lock_guard lock(mutex_);
     listeners_.onProof(revision, provenAt);
@@ -72,8 +72,8 @@
     }
     // A waiting watch is answered when the change is made. Counted from when it was sent, up to three seconds earlier, engines that still
     // have their turn would be left out while they may be used.
-    weights->learntAt = BootClock::now();
-    weights->wereThereAtStart = hearing.isFirst;
+    weights->publishedAt = BootClock::now();
+    weights->wereFoundAtStartup = hearing.isFirst;
     weights->silence = hearing.silence;
     listeners_.onWeights(*weights);
 }
--- a/gateway/configuration_feed.h
+++ b/gateway/configuration_feed.h
@@ -21,7 +21,7 @@
     {
         std::function<void(const std::shared_ptr<const RoutingTable> &, TimePoint provenAt)> onConfiguration;
         std::function<void(std::int64_t revision, TimePoint provenAt)> onProof;
-        std::function<void(const NamedWeights &)> onWeights;
+        std::function<void(const PublishedWeights &)> onWeights;
         std::function<void(std::int64_t revision)> onNewerExists{};
     };
 
@@ -35,11 +35,11 @@
     };
 
     /// An entry that the store held at `provenAt`.
-    void take(const StoreEntry &entry, TimePoint provenAt, const Hearing &hearing);
-    void take(const StoreEntry &entry, TimePoint provenAt);
+    void apply(const StoreEntry &entry, TimePoint provenAt, const Hearing &hearing);
+    void apply(const StoreEntry &entry, TimePoint provenAt);
 
     /// The configuration in force was the newest at `provenAt`.
-    void prove(std::int64_t revision, TimePoint provenAt);
+    void confirm(std::int64_t revision, TimePoint provenAt);
 
     /// The store or another host has a newer configuration than the one in force.
     void noteNewer(std::int64_t revision);
--- a/gateway/crash_guard.cpp
+++ b/gateway/crash_guard.cpp
@@ -63,7 +63,7 @@
         network_.broadcast(report.request);
         network_.record(report.request);
     } else if (from != host_ && quarantine_.contains(report.request, now)) {
-        network_.tell(from, report.request);
+        network_.notify(from, report.request);
     }
 }
 
--- a/gateway/crash_guard.h
+++ b/gateway/crash_guard.h
@@ -23,7 +23,7 @@
     struct Network
     {
         std::function<void(const std::string &host, const CrashReport &)> report;
-        std::function<void(const std::string &host, RequestFingerprint)> tell;
+        std::function<void(const std::string &host, RequestFingerprint)> notify;
         std::function<void(RequestFingerprint)> broadcast;
         std::function<void(RequestFingerprint)> record;
     };
--- a/gateway/engine_control.h
+++ b/gateway/engine_control.h
@@ -32,12 +32,12 @@
 
     /// `precondition`: the order holds only while the engine has accepted that many.
     virtual std::string writeOrder(const Order &order, std::string_view holder, std::int64_t precondition) const = 0;
-    virtual HttpField expectTarget(std::string_view targetId) const = 0;
+    virtual HttpField expectedTargetField(std::string_view targetId) const = 0;
     virtual OrderOutcome outcomeOf(int status) const = 0;
 
     /// The newest changes of a cache, and the field by which the answer waits for some.
     virtual std::string cacheEventsPath() const = 0;
-    virtual HttpField holdQuestion(Duration time) const = 0;
+    virtual HttpField longPollField(Duration time) const = 0;
 };
 
 } // namespace Lovageloft
--- a/gateway/engine_urgency.cpp
+++ b/gateway/engine_urgency.cpp
@@ -20,9 +20,9 @@
 /// Made for an overload of some seconds, when engines are lost while many callers come. Served in the order of arrival, all answers come
 /// late; what is late anyway loses nothing by waiting longer, while its place serves another caller in time. In the heaviest days nine
 /// in a thousand more of the worth was served, with an error of three.
-int engineUrgency(int priority, bool comesLate)
+int engineUrgency(int priority, bool isExpectedLate)
 {
-    return std::clamp(ofHighestPriority + priority + (comesLate ? lateSteps : 0), 0, lowest);
+    return std::clamp(ofHighestPriority + priority + (isExpectedLate ? lateSteps : 0), 0, lowest);
 }
 
 } // namespace Lovageloft
--- a/gateway/fleet_link.cpp
+++ b/gateway/fleet_link.cpp
@@ -155,8 +155,8 @@
 void FleetLink::onWeightsQuestion(const std::string &host)
 {
     const TimePoint now = BootClock::now();
-    for (const NamedWeights &weights : gateway_.targets().namedWithKnownAge()) {
-        peers_.send(host, WeightsAge{weights.model, weights.version, now - weights.learntAt});
+    for (const PublishedWeights &weights : gateway_.targets().weightsWithKnownTime()) {
+        peers_.send(host, WeightsAge{weights.model, weights.version, now - weights.publishedAt});
     }
 }
 
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -103,7 +103,7 @@
         return;
     }
     const bool isNew = table_ == nullptr || table->revision != table_->revision;
-    freshness_.take({table->version, table->revision}, provenAt);
+    freshness_.setTable({table->version, table->revision}, provenAt);
     if (!isNew) {
         return;
     }
@@ -157,7 +157,7 @@
 
 void Gateway::noteTableElsewhere(std::int64_t revision, std::int64_t version)
 {
-    if (freshness_.noteElsewhere({version, revision})) {
+    if (freshness_.notePeerTable({version, revision})) {
         writeLog(LogLevel::Warning, "configuration_of_older_copy", {{"version", table_->version}, {"elsewhere", version}});
     }
 }
@@ -173,13 +173,13 @@
     }
 }
 
-void Gateway::setNamedWeights(const NamedWeights &weights)
+void Gateway::setPublishedWeights(const PublishedWeights &weights)
 {
     const TimePoint now = BootClock::now();
-    NamedWeights heard = weights;
-    heard.silence = std::max(heard.silence, standstills_.justEnded(now) - (now - weights.learntAt));
+    PublishedWeights heard = weights;
+    heard.silence = std::max(heard.silence, standstills_.justEnded(now) - (now - weights.publishedAt));
     writeLog(LogLevel::Info, "weights_named", {{"model", weights.model}, {"version", weights.version}, {"silence_ms", toMillis(heard.silence)}});
-    directory_.setNamedWeights(heard);
+    directory_.setPublishedWeights(heard);
     agesAskedUntil_ = now + ageQuestionTime;
     onWeightsChanged();
 }
@@ -187,7 +187,7 @@
 void Gateway::onWeightsChanged()
 {
     if (weightsListener_) {
-        weightsListener_(directory_.newestNamed());
+        weightsListener_(directory_.newestPublished());
     }
     refreshTargets();
 }
@@ -197,10 +197,10 @@
     weightsListener_ = std::move(listener);
 }
 
-void Gateway::setYoungWeights(const std::set<std::string> &names)
+void Gateway::setRecentWeights(const std::set<std::string> &names)
 {
     writeLog(LogLevel::Info, "young_weights_known", {{"count", static_cast<std::int64_t>(names.size())}});
-    directory_.setYoungWeights(names);
+    directory_.setRecentWeights(names);
     refreshTargets();
 }
 
@@ -210,7 +210,7 @@
     if (standstills_.justEnded(now) != Duration::zero()) {
         return; // It may have lain here unread, and be older than it says. The question is asked again.
     }
-    if (directory_.learnAge({age.model, age.version, now - age.age})) {
+    if (directory_.updatePublicationTime({age.model, age.version, now - age.age})) {
         writeLog(LogLevel::Info, "weights_age_known", {{"model", age.model}, {"version", age.version}, {"age_ms", toMillis(age.age)}});
         onWeightsChanged();
     }
@@ -514,7 +514,7 @@
     if (now < proofsAskedUntil_) {
         fleet_.askProofs();
     }
-    if (now < agesAskedUntil_ || directory_.needsAge(now)) {
+    if (now < agesAskedUntil_ || directory_.needsPublicationTime(now)) {
         fleet_.askWeightsAges();
     }
     dispatch_.renewEngines(now);
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -89,18 +89,18 @@
     /// The configuration with this revision exists and may not have been read yet.
     void noteNewerTable(std::int64_t revision);
 
-    /// Another host has this configuration in force; see TableFreshness::noteElsewhere.
+    /// Another host has this configuration in force; see TableFreshness::notePeerTable.
     void noteTableElsewhere(std::int64_t revision, std::int64_t version);
 
     void setTargets(std::shared_ptr<const TargetMap> targets);
-    void setNamedWeights(const NamedWeights &weights);
+    void setPublishedWeights(const PublishedWeights &weights);
 
     /// Hears of the newest weights of each model whenever this host learns of some, or of when they were named. To be called before `run`.
-    using WeightsListener = std::function<void(const std::vector<NamedWeights> &)>;
+    using WeightsListener = std::function<void(const std::vector<PublishedWeights> &)>;
     void setWeightsListener(WeightsListener listener);
 
     /// The weights that the store still kept as young when this host started.
-    void setYoungWeights(const std::set<std::string> &names);
+    void setRecentWeights(const std::set<std::string> &names);
 
     /// Another host knows how long ago weights were named.
     void learnWeightsAge(const WeightsAge &age);
--- a/gateway/host_duty.cpp
+++ b/gateway/host_duty.cpp
@@ -75,7 +75,7 @@
         if (reply.status != StoreStatus::Ok) {
             return false;
         }
-        nextRenewal_ = now + options_.lifetime / renewalsPerLife;
+        nextRenewal_ = now + options_.leaseTimeToLive / renewalsPerLife;
     }
     writeQuarantines();
     return followHosts();
@@ -125,12 +125,12 @@
 bool HostDuty::takeLease()
 {
     const TimePoint now = BootClock::now();
-    const StoreLeaseReply reply = store_.grantLease(options_.lifetime);
+    const StoreLeaseReply reply = store_.grantLease(options_.leaseTimeToLive);
     if (reply.status != StoreStatus::Ok) {
         return false;
     }
     leaseId_ = reply.leaseId;
-    nextRenewal_ = now + options_.lifetime / renewalsPerLife;
+    nextRenewal_ = now + options_.leaseTimeToLive / renewalsPerLife;
     return true;
 }
 
@@ -232,7 +232,7 @@
             names.insert(entry.key.substr(options_.weightsPrefix.size()));
         }
     }
-    gateway_.post([names = std::move(names)](Gateway &gateway) { gateway.setYoungWeights(names); });
+    gateway_.post([names = std::move(names)](Gateway &gateway) { gateway.setRecentWeights(names); });
 }
 
 /// The value begins with the holder's name, and that with its host's.
--- a/gateway/host_duty.h
+++ b/gateway/host_duty.h
@@ -34,7 +34,7 @@
         std::string quarantinePrefix = {}; ///< Of the keys of requests in quarantine, within `prefix`; empty: they are neither kept nor read.
         std::string hostName;
         HostRecord record; ///< What others are told of this host.
-        Duration lifetime{}; ///< Of the lease; must be longer than the proof of a key counts.
+        Duration leaseTimeToLive{}; ///< Of the lease; must be longer than the proof of a key counts.
         std::string leaderKey; ///< Under `prefix`.
         /// Called on the duty's thread with the host that holds that key; empty if nobody does.
         std::function<void(const std::string &host)> onLeader;
--- a/gateway/operator_view.cpp
+++ b/gateway/operator_view.cpp
@@ -113,7 +113,7 @@
         row->set("target", id);
         row->set("service", target.service);
         row->set("model", hasModel ? target.models.front().name : std::string());
-        row->set("weights", hasModel ? gateway_.targets().weightsOf(target, target.models.front().name) : std::int64_t{0});
+        row->set("weights", hasModel ? gateway_.targets().weightsVersionOf(target, target.models.front().name) : std::int64_t{0});
         row->set("address", hostAddressText(target.address));
         row->set("data_centre", target.dataCentre);
         row->set("state", target.isLeaving ? "leaving" : "serving");
--- a/gateway/proof_duty.cpp
+++ b/gateway/proof_duty.cpp
@@ -47,7 +47,7 @@
     StoreReply reply = store_.confirm(records_.configurationKey(), revision);
     if (reply.status == StoreStatus::Ok) {
         outdatedSince_.reset();
-        feed_.prove(revision, sentAt - reply.age);
+        feed_.confirm(revision, sentAt - reply.age);
         return true;
     }
     if (reply.status != StoreStatus::Conflict) {
@@ -65,7 +65,7 @@
     }
     if (reply.status != StoreStatus::Unavailable && !reply.entry.value.empty()) {
         outdatedSince_.reset();
-        feed_.take(reply.entry, provenAt);
+        feed_.apply(reply.entry, provenAt);
         return true;
     }
     return false;
--- a/gateway/store_records.h
+++ b/gateway/store_records.h
@@ -27,7 +27,7 @@
 
     /// Nothing for an entry that another writer left or that can't be read: it names no target to use.
     virtual std::optional<Target> parseTarget(const StoreEntry &entry, Reason &reason) const = 0;
-    virtual std::optional<NamedWeights> parseWeights(const StoreEntry &entry, Reason &reason) const = 0;
+    virtual std::optional<PublishedWeights> parseWeights(const StoreEntry &entry, Reason &reason) const = 0;
 };
 
 } // namespace Lovageloft
--- a/gateway/table_freshness.cpp
+++ b/gateway/table_freshness.cpp
@@ -5,7 +5,7 @@
 namespace Lovageloft
 {
 
-void TableFreshness::take(const Table &table, TimePoint provenAt)
+void TableFreshness::setTable(const Table &table, TimePoint provenAt)
 {
     table_ = table;
     provenAt_ = std::max(provenAt_, provenAt);
@@ -31,7 +31,7 @@
     newestRevision_ = table_.revision;
 }
 
-bool TableFreshness::noteElsewhere(const Table &table)
+bool TableFreshness::notePeerTable(const Table &table)
 {
     const bool isLost = table_.revision != 0 && table.version > table_.version && table.revision < table_.revision;
     const bool isNews = isLost && table.version > versionLost_;
--- a/gateway/table_freshness.h
+++ b/gateway/table_freshness.h
@@ -19,7 +19,7 @@
     };
 
     /// The configuration in force, which was the newest at `provenAt`. Proofs only grow younger.
-    void take(const Table &table, TimePoint provenAt);
+    void setTable(const Table &table, TimePoint provenAt);
 
     /// The configuration with this position was the newest.
     void confirm(std::int64_t revision, TimePoint provenAt);
@@ -32,7 +32,7 @@
 
     /// Another host has this one in force. A later version at an earlier position tells that the store came back from a copy older than what the
     /// fleet had, and that this host has read it from there; true for news.
-    bool noteElsewhere(const Table &table);
+    bool notePeerTable(const Table &table);
 
     /// Time since the configuration in force was known to be the newest.
     Duration age(TimePoint now) const;
--- a/gateway/target.h
+++ b/gateway/target.h
@@ -47,38 +47,38 @@
 using TargetMap = std::map<std::string, Target, std::less<>>;
 
 /// The weights that an operator named for a model.
-struct NamedWeights
+struct PublishedWeights
 {
     std::string model;
     std::int64_t version = 0;
-    TimePoint learntAt; ///< When this host heard of them; in TargetDirectory when they were named, as far as is known.
-    bool wereThereAtStart = false; ///< It read them when it started: they may have been named long before.
+    TimePoint publishedAt; ///< When this host heard of them; in TargetDirectory when they were named, as far as is known.
+    bool wereFoundAtStartup = false; ///< It read them when it started: they may have been named long before.
     Duration silence{}; ///< For how long before it heard the host was cut off or stood still: they may have been named any time in it.
 };
 
-/// Whether weights count as named when they were heard of. A shorter silence is within what is left after `useOfOlderWeights`.
-inline bool isAgeKnown(const NamedWeights &weights)
+/// Whether weights count as named when they were heard of. A shorter silence is within what is left after `olderWeightsGracePeriod`.
+inline bool isPublicationTimeKnown(const PublishedWeights &weights)
 {
     constexpr Duration shortSilence = std::chrono::milliseconds(500);
-    return !weights.wereThereAtStart && weights.silence <= shortSilence;
+    return !weights.wereFoundAtStartup && weights.silence <= shortSilence;
 }
 
 /// The name of weights in keys of the store.
-inline std::string nameOf(const NamedWeights &weights)
+inline std::string weightsKeyName(const PublishedWeights &weights)
 {
     return weights.model + '/' + std::to_string(weights.version);
 }
 
 /// How long after new weights were named they count as young: what a host that finds them at its start takes for their age if it can't be
 /// told better. Half of the deadline is what a round over all engines takes.
-constexpr Duration youthOfWeights(Duration deadline)
+constexpr Duration recentWeightsPeriod(Duration deadline)
 {
     return deadline / 2;
 }
 
 /// How long after new weights were named older ones may be used, given the time by which no request may begin on them. What is sent
 /// last is expected to begin at once; the rest is for waits that can't be foreseen. See PlacementPolicy::firstTokenSafetyFactor for longer ones.
-constexpr Duration useOfOlderWeights(Duration deadline)
+constexpr Duration olderWeightsGracePeriod(Duration deadline)
 {
     constexpr int parts = 17;
     constexpr int whole = 20;
--- a/gateway/target_directory.cpp
+++ b/gateway/target_directory.cpp
@@ -64,68 +64,68 @@
     });
 }
 
-void TargetDirectory::setNamedWeights(const NamedWeights &weights)
+void TargetDirectory::setPublishedWeights(const PublishedWeights &weights)
 {
     if (weights.version <= newestVersion(weights.model)) {
         return;
     }
-    std::vector<NamedWeights> &versions = named_[weights.model];
+    std::vector<PublishedWeights> &versions = named_[weights.model];
     versions.push_back(weights);
     // Counted from when they were heard of, a host that restarts, or that was cut off or stood still while they were named, would go on
     // sending to engines that were left out of the round for as long again; counted as long past, a fleet that restarts right after new
     // weights were named would have no engine.
-    if (!isAgeKnown(weights)) {
-        const Duration youth = youthOfWeights(weightsDeadline_);
-        versions.back().learntAt -= weights.wereThereAtStart ? youth : std::min(youth, weights.silence);
+    if (!isPublicationTimeKnown(weights)) {
+        const Duration youth = recentWeightsPeriod(weightsDeadline_);
+        versions.back().publishedAt -= weights.wereFoundAtStartup ? youth : std::min(youth, weights.silence);
     }
     // Once a version's deadline has passed, the ones before it tell nothing more.
-    const auto isPast = [&](const NamedWeights &known) { return weights.learntAt >= known.learntAt + weightsDeadline_; };
+    const auto isPast = [&](const PublishedWeights &known) { return weights.publishedAt >= known.publishedAt + weightsDeadline_; };
     while (versions.size() > 2 && isPast(versions[1])) {
         versions.erase(versions.begin());
     }
 }
 
-void TargetDirectory::setYoungWeights(std::set<std::string> names)
+void TargetDirectory::setRecentWeights(std::set<std::string> names)
 {
     youngAtStart_ = std::move(names);
 }
 
-bool TargetDirectory::needsAge(TimePoint now) const
+bool TargetDirectory::needsPublicationTime(TimePoint now) const
 {
     return std::any_of(named_.begin(), named_.end(), [&](const auto &entry) {
-        const NamedWeights &newest = entry.second.back();
-        return !isAgeKnown(newest) && now < newest.learntAt + weightsDeadline_;
+        const PublishedWeights &newest = entry.second.back();
+        return !isPublicationTimeKnown(newest) && now < newest.publishedAt + weightsDeadline_;
     });
 }
 
-std::vector<NamedWeights> TargetDirectory::namedWithKnownAge() const
+std::vector<PublishedWeights> TargetDirectory::weightsWithKnownTime() const
 {
-    std::vector<NamedWeights> known;
+    std::vector<PublishedWeights> known;
     for (const auto &[model, versions] : named_) {
-        std::copy_if(versions.begin(), versions.end(), std::back_inserter(known), isAgeKnown);
+        std::copy_if(versions.begin(), versions.end(), std::back_inserter(known), isPublicationTimeKnown);
     }
     return known;
 }
 
-std::vector<NamedWeights> TargetDirectory::newestNamed() const
+std::vector<PublishedWeights> TargetDirectory::newestPublished() const
 {
-    std::vector<NamedWeights> newest;
+    std::vector<PublishedWeights> newest;
     std::transform(named_.begin(), named_.end(), std::back_inserter(newest), [](const auto &entry) { return entry.second.back(); });
     return newest;
 }
 
-bool TargetDirectory::learnAge(const NamedWeights &weights)
+bool TargetDirectory::updatePublicationTime(const PublishedWeights &weights)
 {
     const auto found = named_.find(weights.model);
     if (found == named_.end()) {
         return false; // Nothing was read yet; it is asked for again.
     }
-    std::vector<NamedWeights> &versions = found->second;
-    const auto known = std::find_if(versions.begin(), versions.end(), [&](const NamedWeights &named) { return named.version >= weights.version; });
+    std::vector<PublishedWeights> &versions = found->second;
+    const auto known = std::find_if(versions.begin(), versions.end(), [&](const PublishedWeights &named) { return named.version >= weights.version; });
     if (known == versions.end()) {
         return false; // Newer than what the store has told this host; it will.
     }
-    if (known->version > weights.version && versions.back().learntAt >= known->learntAt + weightsDeadline_) {
+    if (known->version > weights.version && versions.back().publishedAt >= known->publishedAt + weightsDeadline_) {
         return false; // Long followed.
     }
     if (known->version > weights.version) {
@@ -135,18 +135,18 @@
     }
     // Nobody hears of weights before they are named: of two hosts that know, the one that heard first is nearer.
     constexpr Duration sameTime = std::chrono::milliseconds(20);
-    if (isAgeKnown(*known) && weights.learntAt > known->learntAt - sameTime) {
+    if (isPublicationTimeKnown(*known) && weights.publishedAt > known->publishedAt - sameTime) {
         return false;
     }
     *known = weights;
     return true;
 }
 
-std::optional<TimePoint> TargetDirectory::newestNamedAt() const
+std::optional<TimePoint> TargetDirectory::newestPublishedAt() const
 {
     std::optional<TimePoint> newest;
     for (const auto &[model, versions] : named_) {
-        newest = std::max(newest, std::optional(versions.back().learntAt));
+        newest = std::max(newest, std::optional(versions.back().publishedAt));
     }
     return newest;
 }
@@ -176,7 +176,7 @@
     return name;
 }
 
-std::int64_t TargetDirectory::weightsOf(const Target &target, std::string_view model) const
+std::int64_t TargetDirectory::weightsVersionOf(const Target &target, std::string_view model) const
 {
     std::int64_t version = 0;
     for (const ServedModel &served : target.models) {
@@ -204,7 +204,7 @@
         return;
     }
     const bool isSameTarget = facts.targetId == target->id;
-    if (isSameTarget && newestVersion(model) > weightsOf(*target, model)) {
+    if (isSameTarget && newestVersion(model) > weightsVersionOf(*target, model)) {
         correction.weights[std::string(model)] = newestVersion(model);
         return;
     }
@@ -236,7 +236,7 @@
             SchedulerEngine copy = engine;
             copy.name = id + nameSeparator + model.name;
             copy.model = target.service + nameSeparator + model.name;
-            copy.weightsVersion = std::to_string(weightsOf(target, model.name));
+            copy.weightsVersion = std::to_string(weightsVersionOf(target, model.name));
             copy.firstTokenDeadline = endOfUse(target, model.name);
             copy.isServing = copy.isServing && (!copy.firstTokenDeadline || now < *copy.firstTokenDeadline);
             engines.push_back(std::move(copy));
@@ -257,7 +257,7 @@
         consider(correction.avoidUntil);
     }
     for (const auto &[model, versions] : named_) {
-        for (const NamedWeights &weights : versions) {
+        for (const PublishedWeights &weights : versions) {
             consider(endOfOlder(weights));
         }
     }
@@ -277,10 +277,10 @@
 }
 
 /// Until when older weights may be used, where these have been named.
-TimePoint TargetDirectory::endOfOlder(const NamedWeights &named) const
+TimePoint TargetDirectory::endOfOlder(const PublishedWeights &named) const
 {
-    const bool isLongNamed = named.wereThereAtStart && youngAtStart_ && !youngAtStart_->contains(nameOf(named));
-    return isLongNamed ? TimePoint{} : named.learntAt + useOfOlderWeights(weightsDeadline_);
+    const bool isLongNamed = named.wereFoundAtStartup && youngAtStart_ && !youngAtStart_->contains(weightsKeyName(named));
+    return isLongNamed ? TimePoint{} : named.publishedAt + olderWeightsGracePeriod(weightsDeadline_);
 }
 
 /// Until when requests may begin on the target's weights; nothing while no newer ones are named.
@@ -291,8 +291,8 @@
     if (found == named_.end()) {
         return end;
     }
-    const std::int64_t version = weightsOf(target, model);
-    for (const NamedWeights &named : found->second) {
+    const std::int64_t version = weightsVersionOf(target, model);
+    for (const PublishedWeights &named : found->second) {
         if (named.version > version) {
             end = std::min(end.value_or(TimePoint::max()), endOfOlder(named));
         }
--- a/gateway/target_directory.h
+++ b/gateway/target_directory.h
@@ -30,25 +30,25 @@
     void setDataCentre(std::string dataCentre);
 
     void setTargets(std::shared_ptr<const TargetMap> targets);
-    void setNamedWeights(const NamedWeights &weights);
+    void setPublishedWeights(const PublishedWeights &weights);
 
     /// The weights that the store still kept as young when this host started, by their names. Others that it found then are older.
-    void setYoungWeights(std::set<std::string> names);
+    void setRecentWeights(std::set<std::string> names);
 
     /// Whether weights are in force of which this host doesn't know how long ago they were named.
-    bool needsAge(TimePoint now) const;
+    bool needsPublicationTime(TimePoint now) const;
 
-    /// Weights whose `learntAt` is when they were named, as this host heard of them then or was told since.
-    std::vector<NamedWeights> namedWithKnownAge() const;
+    /// Weights whose `publishedAt` is when they were named, as this host heard of them then or was told since.
+    std::vector<PublishedWeights> weightsWithKnownTime() const;
 
-    /// The newest weights of each model, with `learntAt` as this host reckons it.
-    std::vector<NamedWeights> newestNamed() const;
+    /// The newest weights of each model, with `publishedAt` as this host reckons it.
+    std::vector<PublishedWeights> newestPublished() const;
 
     /// Another host knows when weights were named. True if that is news.
-    bool learnAge(const NamedWeights &weights);
+    bool updatePublicationTime(const PublishedWeights &weights);
 
     /// When the weights named last were named, as this host reckons it.
-    std::optional<TimePoint> newestNamedAt() const;
+    std::optional<TimePoint> newestPublishedAt() const;
 
     /// Tokens that one engine of each service holds.
     void setCacheTokens(std::map<std::string, double, std::less<>> tokens);
@@ -63,7 +63,7 @@
     std::string schedulerModel(std::string_view service, std::string_view model) const;
 
     /// The version of a model that the target is believed to run.
-    std::int64_t weightsOf(const Target &target, std::string_view model) const;
+    std::int64_t weightsVersionOf(const Target &target, std::string_view model) const;
 
     /// A target declined a request without running it: it is full, loads, or is not what its entry says.
     void onNotExecuted(std::string_view engineName, const AnswerFacts &facts, std::string_view model, TimePoint now);
@@ -88,7 +88,7 @@
 
     const Correction *correctionOf(const Target &target) const;
     std::int64_t newestVersion(std::string_view model) const;
-    TimePoint endOfOlder(const NamedWeights &named) const;
+    TimePoint endOfOlder(const PublishedWeights &named) const;
     std::optional<TimePoint> endOfUse(const Target &target, std::string_view model) const;
     SchedulerEngine engineOf(const Target &target, TimePoint now) const;
 
@@ -96,7 +96,7 @@
     std::string dataCentre_;
     std::shared_ptr<const TargetMap> targets_ = std::make_shared<TargetMap>();
     std::set<std::string, std::less<>> modelServices_;
-    std::map<std::string, std::vector<NamedWeights>, std::less<>> named_; ///< By model, newest last; each version has its own deadline.
+    std::map<std::string, std::vector<PublishedWeights>, std::less<>> named_; ///< By model, newest last; each version has its own deadline.
     std::optional<std::set<std::string>> youngAtStart_; ///< Unknown until the store has been read.
     std::map<std::string, Correction, std::less<>> corrections_;
     std::map<std::string, double, std::less<>> cacheTokens_; ///< By service.
--- a/gateway/target_request.cpp
+++ b/gateway/target_request.cpp
@@ -17,7 +17,7 @@
     if (!request.isForEngine) {
         return request;
     }
-    request.weightsVersion = gateway.targets().weightsOf(send.target, intake.caller().model);
+    request.weightsVersion = gateway.targets().weightsVersionOf(send.target, intake.caller().model);
     // What older weights computed must not be found by newer ones, nor one isolated team's by another.
     salt = std::to_string(request.weightsVersion) + '/' + intake.cacheScope();
     request.cacheSalt = salt;
@@ -25,7 +25,7 @@
     plan = planCache({intake.caller().promptTokens.value_or(0), intake.sharedTokens(), send.cachedTokens, gateway.cacheStoreFor(send.target), holder});
     request.fetchFrom = plan.fetchFrom;
     request.saveTo = plan.saveTo;
-    request.urgency = engineUrgency(intake.priority(), send.comesLate);
+    request.urgency = engineUrgency(intake.priority(), send.isExpectedLate);
     return request;
 }
 
--- a/gateway/target_request.h
+++ b/gateway/target_request.h
@@ -20,7 +20,7 @@
     std::string_view lastEventId; ///< After which a stream goes on.
     std::uint32_t cachedTokens = 0; ///< Prompt tokens that the target is believed to hold.
     std::string_view holder; ///< Another engine that is believed to hold more of the prompt; may be empty.
-    bool comesLate = false; ///< The first token is expected after the route's latency target.
+    bool isExpectedLate = false; ///< The first token is expected after the route's latency target.
 };
 
 /// What the target is told beside the request itself. The result refers to `salt` and `plan`, which it fills in.
--- a/gateway/weights_duty.cpp
+++ b/gateway/weights_duty.cpp
@@ -37,7 +37,7 @@
     , options_(std::move(options))
     , lease_(store_, options_.leaderKey, options_.holder, options_.lease)
     , scheduler_(options_.orders)
-    , records_(store_, options_.recordsPrefix, youthOfWeights(options_.deadline))
+    , records_(store_, options_.recordsPrefix, recentWeightsPeriod(options_.deadline))
     , candidacy_(Random(std::random_device{}()))
     , current_(targets_)
 {
@@ -50,10 +50,10 @@
     isChanged_ = true;
 }
 
-void WeightsDuty::setNamedWeights(const std::vector<NamedWeights> &weights)
+void WeightsDuty::setPublishedWeights(const std::vector<PublishedWeights> &weights)
 {
     const std::lock_guard lock(mutex_);
-    for (const NamedWeights &newest : weights) {
+    for (const PublishedWeights &newest : weights) {
         named_.insert_or_assign(newest.model, newest);
     }
     isChanged_ = true;
@@ -125,7 +125,7 @@
 
 void WeightsDuty::recordNamed()
 {
-    std::map<std::string, NamedWeights> named;
+    std::map<std::string, PublishedWeights> named;
     {
         const std::lock_guard lock(mutex_);
         named = named_;
@@ -140,7 +140,7 @@
 
 void WeightsDuty::updateWanted()
 {
-    std::map<std::string, NamedWeights> named;
+    std::map<std::string, PublishedWeights> named;
     {
         const std::lock_guard lock(mutex_);
         for (const std::string &target : std::exchange(orderedByOthers_, {})) {
@@ -165,7 +165,7 @@
             engine.checksFencing = options_.enginesCheckFencing;
             engine.state.model = model.name;
             engine.state.weightsVersion = std::to_string(version->second.version);
-            engine.dueAt = version->second.learntAt + useOfOlderWeights(options_.deadline);
+            engine.dueAt = version->second.publishedAt + olderWeightsGracePeriod(options_.deadline);
             engine.announced = EngineState{model.name, std::to_string(model.version), {}, {}, false};
             wanted.push_back(std::move(engine));
         }
@@ -242,7 +242,7 @@
     if (connection == nullptr || !scheduler_.maySend(order, lease_, BootClock::now())) {
         return sent;
     }
-    const HttpField expected = format_.expectTarget(order.target);
+    const HttpField expected = format_.expectedTargetField(order.target);
     const std::string body = format_.writeOrder(order, options_.holderName, before->ordersAccepted);
     const auto answer = connection->call("POST", format_.orderPath(), body, BootClock::now() + callTimeout, {&expected, 1});
     if (answer) {
@@ -258,7 +258,7 @@
     if (connection == nullptr) {
         return std::nullopt;
     }
-    const HttpField expected = format_.expectTarget(target.id);
+    const HttpField expected = format_.expectedTargetField(target.id);
     const auto answer = connection->call("GET", format_.reportPath(), {}, BootClock::now() + callTimeout, {&expected, 1});
     return answer && answer->status == statusOk ? format_.parseReport(answer->body) : std::nullopt;
 }
--- a/gateway/weights_duty.h
+++ b/gateway/weights_duty.h
@@ -44,8 +44,8 @@
     /// For any thread.
     void setTargets(std::shared_ptr<const TargetMap> targets);
 
-    /// The newest weights of each model, with `learntAt` as this host reckons it.
-    void setNamedWeights(const std::vector<NamedWeights> &weights);
+    /// The newest weights of each model, with `publishedAt` as this host reckons it.
+    void setPublishedWeights(const std::vector<PublishedWeights> &weights);
 
     /// Another host was heard to order this engine, or to be about to.
     void onOrderByOther(const std::string &targetId);
@@ -90,7 +90,7 @@
     WeightsRecords records_;
     std::mutex mutex_;
     std::shared_ptr<const TargetMap> targets_ = std::make_shared<TargetMap>();
-    std::map<std::string, NamedWeights> named_; ///< The newest of each model.
+    std::map<std::string, PublishedWeights> named_; ///< The newest of each model.
     std::vector<std::string> orderedByOthers_; ///< Heard, not taken yet.
     bool isChanged_ = false;
     Candidacy candidacy_;
--- a/gateway/weights_records.cpp
+++ b/gateway/weights_records.cpp
@@ -24,11 +24,11 @@
 {
 }
 
-void WeightsRecords::keep(const NamedWeights &weights, TimePoint now)
+void WeightsRecords::keep(const PublishedWeights &weights, TimePoint now)
 {
-    const std::string name = nameOf(weights);
-    const Duration left = weights.learntAt + youth_ - now;
-    if (weights.wereThereAtStart || left < shortestLease || now < nextTry_ || kept_.contains(name)) {
+    const std::string name = weightsKeyName(weights);
+    const Duration left = weights.publishedAt + youth_ - now;
+    if (weights.wereFoundAtStartup || left < shortestLease || now < nextTry_ || kept_.contains(name)) {
         return;
     }
     const bool isWritten = write(weights, left);
@@ -40,13 +40,13 @@
     writeLog(LogLevel::Info, "weights_recorded", {{"weights", name}, {"left_ms", toMillis(left)}, {"ok", isWritten}});
 }
 
-bool WeightsRecords::write(const NamedWeights &weights, Duration left)
+bool WeightsRecords::write(const PublishedWeights &weights, Duration left)
 {
     const StoreLeaseReply lease = store_.grantLease(left);
     if (lease.status != StoreStatus::Ok) {
         return false;
     }
-    const std::string name = nameOf(weights);
+    const std::string name = weightsKeyName(weights);
     const StoreReply reply = store_.compareAndSwap(prefix_ + name, 0, name, lease.leaseId);
     return reply.status == StoreStatus::Ok || reply.status == StoreStatus::Conflict; // Another leader wrote it before.
 }
--- a/gateway/weights_records.h
+++ b/gateway/weights_records.h
@@ -21,10 +21,10 @@
 
     /// Writes the key of weights that this host heard being named, unless that is done or too late. One or two calls to the store; after a
     /// failure the next try comes half a second later.
-    void keep(const NamedWeights &weights, TimePoint now);
+    void keep(const PublishedWeights &weights, TimePoint now);
 
 private:
-    bool write(const NamedWeights &weights, Duration left);
+    bool write(const PublishedWeights &weights, Duration left);
 
     Store &store_;
     std::string prefix_;
--- a/main/gateway_host.cpp
+++ b/main/gateway_host.cpp
@@ -137,7 +137,7 @@
     , cacheStoreDuty_(gateway_, relayedStore_, engineControl_)
 {
     gateway_.fleet().setRelayedStore(relayedStore_);
-    gateway_.setWeightsListener([this](const std::vector<NamedWeights> &weights) { weightsDuty_.setNamedWeights(weights); });
+    gateway_.setWeightsListener([this](const std::vector<PublishedWeights> &weights) { weightsDuty_.setPublishedWeights(weights); });
     gateway_.fleet().setQuarantineRecorder([this](RequestFingerprint request) { hostDuty_.recordQuarantine(request); });
     gateway_.fleet().setOrderListener([this](const std::string &target) { weightsDuty_.onOrderByOther(target); });
 }
@@ -148,7 +148,7 @@
             [this](std::int64_t revision, TimePoint provenAt) {
                 gateway_.post([revision, provenAt](Gateway &gateway) { gateway.confirmTable(revision, provenAt); });
             },
-            [this](const NamedWeights &weights) { onWeights(weights); },
+            [this](const PublishedWeights &weights) { onWeights(weights); },
             [this](std::int64_t revision) { gateway_.post([revision](Gateway &gateway) { gateway.noteNewerTable(revision); }); }};
 }
 
@@ -161,7 +161,7 @@
     options.quarantinePrefix = quarantinePrefix;
     options.hostName = settings_.hostName;
     options.record = {settings_.peers, settings_.capacity, settings_.dataCentre};
-    options.lifetime = settings_.keyProofWindow * hostLeaseInProofWindows;
+    options.leaseTimeToLive = settings_.keyProofWindow * hostLeaseInProofWindows;
     options.leaderKey = leaderKey;
     options.onLeader = [this](const std::string &host) { weightsDuty_.setLeader(host); };
     options.onHosts = [this](const std::vector<std::string> &candidates, std::size_t hosts) { weightsDuty_.setHosts(candidates, hosts); };
@@ -256,9 +256,9 @@
     gateway_.post([table, provenAt](Gateway &gateway) { gateway.setTable(table, provenAt); });
 }
 
-void GatewayHost::onWeights(const NamedWeights &weights)
+void GatewayHost::onWeights(const PublishedWeights &weights)
 {
-    gateway_.post([weights](Gateway &gateway) { gateway.setNamedWeights(weights); });
+    gateway_.post([weights](Gateway &gateway) { gateway.setPublishedWeights(weights); });
 }
 
 } // namespace Lovageloft
--- a/main/gateway_host.h
+++ b/main/gateway_host.h
@@ -44,7 +44,7 @@
     WeightsDuty::Options weightsOptions();
     void onTargets(const std::shared_ptr<const TargetMap> &targets);
     void onConfiguration(const std::shared_ptr<const RoutingTable> &table, TimePoint provenAt);
-    void onWeights(const NamedWeights &weights);
+    void onWeights(const PublishedWeights &weights);
 
     GatewaySettings settings_;
     Metrics metrics_;
--- a/tests/gateway/test_duties.cpp
+++ b/tests/gateway/test_duties.cpp
@@ -114,7 +114,7 @@
         return target;
     }
 
-    std::optional<NamedWeights> parseWeights(const StoreEntry &, Reason &) const override
+    std::optional<PublishedWeights> parseWeights(const StoreEntry &, Reason &) const override
     {
         return std::nullopt;
     }
@@ -264,7 +264,7 @@
     ProofFixture()
     {
         store.write("op/config", "1");
-        feed.take(store.get("op/config").entry, BootClock::now());
+        feed.apply(store.get("op/config").entry, BootClock::now());
         duty.start();
     }
 
@@ -280,7 +280,7 @@
     ConfigurationFeed feed{records,
                            {[this](const auto &table, TimePoint) { version.set(table->version); },
                             [this](std::int64_t, TimePoint provenAt) { proof.set(provenAt); },
-                            [](const NamedWeights &) {}}};
+                            [](const PublishedWeights &) {}}};
     ProofDuty duty{store, records, feed, 300ms};
 };
 
@@ -384,11 +384,11 @@
     // A slow read ends after a faster one brought a newer version. Taken up, it would give a withdrawn key back.
     std::vector<std::int64_t> versions;
     ConfigurationFeed feed(
-        records, {[&](const auto &table, TimePoint) { versions.push_back(table->version); }, [](std::int64_t, TimePoint) {}, [](const NamedWeights &) {}});
-    feed.take({"op/config", "2", 20, false}, {});
-    feed.take({"op/config", "1", 10, false}, {});
-    feed.take({"op/config", "2", 20, false}, {});
-    feed.take({"op/config", "", 30, true}, {});
+        records, {[&](const auto &table, TimePoint) { versions.push_back(table->version); }, [](std::int64_t, TimePoint) {}, [](const PublishedWeights &) {}});
+    feed.apply({"op/config", "2", 20, false}, {});
+    feed.apply({"op/config", "1", 10, false}, {});
+    feed.apply({"op/config", "2", 20, false}, {});
+    feed.apply({"op/config", "", 30, true}, {});
     BOOST_TEST((versions == std::vector<std::int64_t>{2}));
 }
 
--- a/tests/gateway/test_engine_urgency.cpp
+++ b/tests/gateway/test_engine_urgency.cpp
@@ -16,9 +16,9 @@
 
 BOOST_AUTO_TEST_CASE(routesKeepTheirOrder)
 {
-    for (const bool comesLate : {false, true}) {
-        BOOST_TEST(engineUrgency(0, comesLate) < engineUrgency(1, comesLate));
-        BOOST_TEST(engineUrgency(1, comesLate) < engineUrgency(2, comesLate));
+    for (const bool isExpectedLate : {false, true}) {
+        BOOST_TEST(engineUrgency(0, isExpectedLate) < engineUrgency(1, isExpectedLate));
+        BOOST_TEST(engineUrgency(1, isExpectedLate) < engineUrgency(2, isExpectedLate));
     }
 }
 
--- a/tests/gateway/test_key_freshness.cpp
+++ b/tests/gateway/test_key_freshness.cpp
@@ -57,7 +57,7 @@
         return std::nullopt;
     }
 
-    std::optional<NamedWeights> parseWeights(const StoreEntry & /*entry*/, Reason & /*reason*/) const override
+    std::optional<PublishedWeights> parseWeights(const StoreEntry & /*entry*/, Reason & /*reason*/) const override
     {
         return std::nullopt;
     }
@@ -140,7 +140,7 @@
                     {}})
             , duty(relayed, fleet.records_, feed, 2s, [&fleet] { return fleet.now_; })
         {
-            feed.take(fleet.store_.get(configurationKeyName).entry, fleet.now_);
+            feed.apply(fleet.store_.get(configurationKeyName).entry, fleet.now_);
         }
 
         void note(std::int64_t newest, TimePoint at)
--- a/tests/gateway/test_last_begin_on_older_weights.cpp
+++ b/tests/gateway/test_last_begin_on_older_weights.cpp
@@ -41,7 +41,7 @@
         target.models = {{"m", version}};
         targets.emplace(id, std::move(target));
         directory.setTargets(std::make_shared<const TargetMap>(targets));
-        directory.setNamedWeights({"m", 2, namedAt});
+        directory.setPublishedWeights({"m", 2, namedAt});
     }
 
     /// What becomes of a request `after` the naming.
--- a/tests/gateway/test_table_freshness.cpp
+++ b/tests/gateway/test_table_freshness.cpp
@@ -19,20 +19,20 @@
 BOOST_AUTO_TEST_CASE(onlyWordOfANewerOneMakesAnOldProofCount)
 {
     TableFreshness freshness;
-    freshness.take({1, 10}, start);
+    freshness.setTable({1, 10}, start);
     BOOST_TEST(!freshness.isOutdated(start + 1h, window));
     BOOST_TEST(freshness.noteNewer(11));
     BOOST_TEST(!freshness.noteNewer(11));
     BOOST_TEST(!freshness.isOutdated(start + 1s, window));
     BOOST_TEST(freshness.isOutdated(start + 2s, window));
-    freshness.take({2, 11}, start + 3s);
+    freshness.setTable({2, 11}, start + 3s);
     BOOST_TEST(!freshness.isOutdated(start + 1h, window));
 }
 
 BOOST_AUTO_TEST_CASE(aProofOfTheOneInForceEndsTheWord)
 {
     TableFreshness freshness;
-    freshness.take({1, 10}, start);
+    freshness.setTable({1, 10}, start);
     freshness.noteNewer(11);
     freshness.confirm(9, start + 5s);
     BOOST_TEST(freshness.isOutdated(start + 5s, window));
@@ -47,17 +47,17 @@
 BOOST_AUTO_TEST_CASE(aLaterVersionAtAnEarlierPositionWasLostByTheStore)
 {
     TableFreshness freshness;
-    BOOST_TEST(!freshness.noteElsewhere({7, positionOf(1, 812)})); // Nothing was read yet.
-    freshness.take({5, positionOf(2, 800)}, start);
-    BOOST_TEST(!freshness.noteElsewhere({4, positionOf(1, 700)})); // That host is behind.
-    BOOST_TEST(!freshness.noteElsewhere({6, positionOf(2, 801)})); // A change that is on its way.
+    BOOST_TEST(!freshness.notePeerTable({7, positionOf(1, 812)})); // Nothing was read yet.
+    freshness.setTable({5, positionOf(2, 800)}, start);
+    BOOST_TEST(!freshness.notePeerTable({4, positionOf(1, 700)})); // That host is behind.
+    BOOST_TEST(!freshness.notePeerTable({6, positionOf(2, 801)})); // A change that is on its way.
     BOOST_TEST(!freshness.isOutdated(start, window));
-    BOOST_TEST(freshness.noteElsewhere({7, positionOf(1, 812)}));
-    BOOST_TEST(!freshness.noteElsewhere({7, positionOf(1, 812)}));
+    BOOST_TEST(freshness.notePeerTable({7, positionOf(1, 812)}));
+    BOOST_TEST(!freshness.notePeerTable({7, positionOf(1, 812)}));
     BOOST_TEST(freshness.isOutdated(start, window));
     freshness.confirm(positionOf(2, 800), start + 1s); // The store's copy proves nothing.
     BOOST_TEST(freshness.isOutdated(start + 1s, window));
-    freshness.take({7, positionOf(2, 802)}, start + 2s);
+    freshness.setTable({7, positionOf(2, 802)}, start + 2s);
     BOOST_TEST(!freshness.isOutdated(start + 2s, window));
 }
 
--- a/tests/gateway/test_target_directory.cpp
+++ b/tests/gateway/test_target_directory.cpp
@@ -65,7 +65,7 @@
     // Operators name new weights every three seconds. If the newest name put the deadline off, an engine that was left out of each
     // round would go on serving for good, and readers would get figures of weights withdrawn long ago.
     for (std::int64_t version = 2; version <= 5; ++version) {
-        directory.setNamedWeights({"m", version, start + 3s * (version - 2)});
+        directory.setPublishedWeights({"m", version, start + 3s * (version - 2)});
     }
     directory.setTargets(engines(5, 1));
     BOOST_TEST(isServing("e2|m", start + 6s));
@@ -80,12 +80,12 @@
 {
     // A host restarts a second after new weights were named, and one engine is left out of the round. If the host counted the deadline
     // from its own start, that engine would be sent requests after it, and readers would get figures of weights that no longer count.
-    directory.setNamedWeights({"m", 2, start + 1s, true});
+    directory.setPublishedWeights({"m", 2, start + 1s, true});
     BOOST_TEST(isServing("e1|m", start + 2s));
     BOOST_TEST(!isServing("e1|m", start + 7s));
     directory.setTargets(engines(2, 1));
     BOOST_TEST(isServing("e1|m", start + 7s));
-    directory.setNamedWeights({"m", 3, start + 20s});
+    directory.setPublishedWeights({"m", 3, start + 20s});
     BOOST_TEST(isServing("e1|m", start + 26s));
     BOOST_TEST(!isServing("e1|m", start + 27s));
 }
@@ -94,25 +94,25 @@
 {
     // Hosts are restarted in turn while new weights are brought in. One that starts six seconds after they were named and guesses that it
     // was four goes on sending to engines with older weights after the deadline; readers get figures of weights that no longer count.
-    directory.setNamedWeights({"m", 2, start + 6s, true});
-    BOOST_TEST(directory.needsAge(start + 6s));
-    BOOST_TEST(directory.namedWithKnownAge().empty());
+    directory.setPublishedWeights({"m", 2, start + 6s, true});
+    BOOST_TEST(directory.needsPublicationTime(start + 6s));
+    BOOST_TEST(directory.weightsWithKnownTime().empty());
     BOOST_TEST(isServing("e1|m", start + 7s));
-    BOOST_TEST(directory.learnAge({"m", 2, start}));
-    BOOST_TEST(!directory.needsAge(start + 6s));
+    BOOST_TEST(directory.updatePublicationTime({"m", 2, start}));
+    BOOST_TEST(!directory.needsPublicationTime(start + 6s));
     BOOST_TEST(!isServing("e1|m", start + 7s));
-    BOOST_TEST(directory.namedWithKnownAge().size() == 1U);
-    BOOST_TEST(!directory.learnAge({"m", 2, start + 5s}));
+    BOOST_TEST(directory.weightsWithKnownTime().size() == 1U);
+    BOOST_TEST(!directory.updatePublicationTime({"m", 2, start + 5s}));
 }
 
 BOOST_AUTO_TEST_CASE(aFleetThatRestartsRightAfterWeightsWereNamedUsesTheOlderOnes)
 {
     // All hosts restart a second after new weights were named, before an engine has them. Taken for long named, they would leave callers
     // without any engine for seconds. The key that the leader left in the store tells that they are young.
-    directory.setNamedWeights({"m", 2, start, true});
-    directory.setYoungWeights({"m/2"});
+    directory.setPublishedWeights({"m", 2, start, true});
+    directory.setRecentWeights({"m/2"});
     BOOST_TEST(isServing("e1|m", start + 2s));
-    directory.setNamedWeights({"m", 3, start + 10s});
+    directory.setPublishedWeights({"m", 3, start + 10s});
     directory.setTargets(engines(2, 2));
     BOOST_TEST(isServing("e1|m", start + 12s));
 }
@@ -121,43 +121,43 @@
 {
     // Two versions were named before a host started, and the store shows the newer one only. An engine left out of both rounds has the
     // deadline of the first.
-    directory.setNamedWeights({"m", 3, start + 6s, true});
-    BOOST_TEST(directory.learnAge({"m", 3, start + 5s}));
+    directory.setPublishedWeights({"m", 3, start + 6s, true});
+    BOOST_TEST(directory.updatePublicationTime({"m", 3, start + 5s}));
     BOOST_TEST(isServing("e1|m", start + 7s));
-    BOOST_TEST(directory.learnAge({"m", 2, start}));
+    BOOST_TEST(directory.updatePublicationTime({"m", 2, start}));
     BOOST_TEST(!isServing("e1|m", start + 7s));
-    BOOST_TEST(!directory.learnAge({"m", 9, start}));
-    BOOST_TEST(!directory.learnAge({"other", 1, start}));
+    BOOST_TEST(!directory.updatePublicationTime({"m", 9, start}));
+    BOOST_TEST(!directory.updatePublicationTime({"other", 1, start}));
 }
 
 BOOST_AUTO_TEST_CASE(ofTwoHostsThatKnowTheOneThatHeardFirstIsNearer)
 {
     // A host's cut heals while it waits for the store: nothing shows that it heard three seconds late, and it believes that it knows.
-    directory.setNamedWeights({"m", 2, start + 3s});
-    BOOST_TEST(!directory.learnAge({"m", 2, start + 4s}));
-    BOOST_TEST(directory.learnAge({"m", 2, start}));
+    directory.setPublishedWeights({"m", 2, start + 3s});
+    BOOST_TEST(!directory.updatePublicationTime({"m", 2, start + 4s}));
+    BOOST_TEST(directory.updatePublicationTime({"m", 2, start}));
     BOOST_TEST(!isServing("e1|m", start + 7s));
-    BOOST_TEST(!directory.learnAge({"m", 2, start - 1ms})); // Datagrams take as long.
+    BOOST_TEST(!directory.updatePublicationTime({"m", 2, start - 1ms})); // Datagrams take as long.
 }
 
 BOOST_AUTO_TEST_CASE(aHostThatHeardLateAsksAndDoesNotTell)
 {
     // It stood still for three seconds. What it makes of that is a guess, which must not be spread as knowledge.
-    directory.setNamedWeights({"m", 2, start + 3s, false, 3s});
-    BOOST_TEST(directory.needsAge(start + 3s));
-    BOOST_TEST(directory.namedWithKnownAge().empty());
+    directory.setPublishedWeights({"m", 2, start + 3s, false, 3s});
+    BOOST_TEST(directory.needsPublicationTime(start + 3s));
+    BOOST_TEST(directory.weightsWithKnownTime().empty());
     BOOST_TEST(isServing("e1|m", start + 6s));
     BOOST_TEST(!isServing("e1|m", start + 7s));
-    BOOST_TEST(directory.learnAge({"m", 2, start + 2s}));
+    BOOST_TEST(directory.updatePublicationTime({"m", 2, start + 2s}));
     BOOST_TEST(isServing("e1|m", start + 8s));
-    BOOST_TEST((directory.newestNamed().at(0).learntAt == start + 2s));
+    BOOST_TEST((directory.newestPublished().at(0).publishedAt == start + 2s));
 }
 
 BOOST_AUTO_TEST_CASE(anEngineThatRefusesTheExpectedWeightsHasTheNewest)
 {
     // An engine has loaded before its entry says so, and refuses each request that expects the old weights. Were the entry believed
     // further, every request would make that round trip until the store's watch catches up.
-    directory.setNamedWeights({"m", 2, start});
+    directory.setPublishedWeights({"m", 2, start});
     AnswerFacts facts;
     facts.isOtherTarget = true;
     facts.targetId = "e1";
--- a/tests/gateway/test_weights_after_fleet_restart.cpp
+++ b/tests/gateway/test_weights_after_fleet_restart.cpp
@@ -24,8 +24,8 @@
     engine.models = {{"m", 3}};
     targets->emplace(engine.id, engine);
     directory.setTargets(targets);
-    directory.setNamedWeights({"m", 4, startedAt, true});
-    directory.setYoungWeights({});
+    directory.setPublishedWeights({"m", 4, startedAt, true});
+    directory.setRecentWeights({});
     for (const SchedulerEngine &listed : directory.engines(namedAt + deadline)) {
         BOOST_TEST(!listed.isServing);
     }
--- a/tests/gateway/test_weights_ages.cpp
+++ b/tests/gateway/test_weights_ages.cpp
@@ -38,7 +38,7 @@
             const Duration delay = isLate ? milliseconds(longestDelay) : milliseconds(400);
             const Duration silence = isLate ? delay + milliseconds(2'000) : delay;
             const bool hasStarted = isLate && randomBelow(random_, 3) == 0;
-            hosts_[i].setNamedWeights({"m", version, namedAt + delay, hasStarted, hasStarted ? Duration::zero() : silence});
+            hosts_[i].setPublishedWeights({"m", version, namedAt + delay, hasStarted, hasStarted ? Duration::zero() : silence});
             isLate_.push_back(isLate);
         }
     }
@@ -48,7 +48,7 @@
     {
         for (TimePoint now = from; now < until; now += 250ms) {
             for (std::size_t i = 0; i < hosts_.size(); ++i) {
-                for (int asked = 0; asked < 3 && hosts_[i].needsAge(now); ++asked) {
+                for (int asked = 0; asked < 3 && hosts_[i].needsPublicationTime(now); ++asked) {
                     tell(hosts_[randomBelow(random_, hosts_.size())], hosts_[i], now);
                 }
             }
@@ -80,10 +80,10 @@
 
     void tell(const TargetDirectory &from, TargetDirectory &to, TimePoint now)
     {
-        for (NamedWeights weights : from.namedWithKnownAge()) {
-            if (randomBelow(random_, 100) >= lossPercent_ && now >= weights.learntAt) {
-                weights.learntAt += milliseconds(3);
-                to.learnAge(weights);
+        for (PublishedWeights weights : from.weightsWithKnownTime()) {
+            if (randomBelow(random_, 100) >= lossPercent_ && now >= weights.publishedAt) {
+                weights.publishedAt += milliseconds(3);
+                to.updatePublicationTime(weights);
             }
         }
     }
@@ -107,7 +107,7 @@
         fleet.ask(start + 5s, start + 6s);
         for (std::size_t host = 0; host < fleet.size(); ++host) {
             BOOST_TEST(!fleet.usesOlder(host, start + deadline), "seed " << seed << ": host " << host << " uses older weights");
-            const bool isEarly = !fleet.isLate(host) && !fleet.usesOlder(host, start + useOfOlderWeights(deadline) - 50ms);
+            const bool isEarly = !fleet.isLate(host) && !fleet.usesOlder(host, start + olderWeightsGracePeriod(deadline) - 50ms);
             BOOST_TEST(!isEarly, "seed " << seed << ": host " << host << " stops too early");
         }
     }
--- a/tests/platform/test_datagrams.cpp
+++ b/tests/platform/test_datagrams.cpp
@@ -192,7 +192,7 @@
 BOOST_AUTO_TEST_CASE(aHostThatHeardLateDoesNotTellItsGuessAndIsToldTheAge)
 {
     // A host hears of weights after a standstill of three seconds. Another one knows that they were named more than seven seconds ago.
-    onLoop([](Gateway &gateway) { gateway.setNamedWeights({"m", 2, BootClock::now(), false, 3s}); });
+    onLoop([](Gateway &gateway) { gateway.setPublishedWeights({"m", 2, BootClock::now(), false, 3s}); });
     BOOST_TEST(isServed());
     BOOST_TEST(!other.ask().has_value());
     other.setAge(7200ms);
@@ -205,7 +205,7 @@
 
 BOOST_AUTO_TEST_CASE(aHostTellsAnAgeThatItKnows)
 {
-    onLoop([](Gateway &gateway) { gateway.setNamedWeights({"m", 2, BootClock::now() - 2s}); });
+    onLoop([](Gateway &gateway) { gateway.setPublishedWeights({"m", 2, BootClock::now() - 2s}); });
     const auto age = other.ask();
     BOOST_REQUIRE(age.has_value());
     BOOST_TEST((*age >= 2s && *age < 4s));
--- a/tests/platform/test_host_listed_again.cpp
+++ b/tests/platform/test_host_listed_again.cpp
@@ -52,8 +52,8 @@
 struct HostFixture
 {
     /// `earlier`: what an earlier process of the host has left in its key.
-    explicit HostFixture(Duration lifetime = 1h, std::string_view earlier = {})
-        : duty(store, gateway, options(lifetime))
+    explicit HostFixture(Duration leaseTimeToLive = 1h, std::string_view earlier = {})
+        : duty(store, gateway, options(leaseTimeToLive))
     {
         if (!earlier.empty()) {
             store.memory.compareAndSwap(hostKey, 0, earlier, 0);
@@ -67,7 +67,7 @@
         duty.join();
     }
 
-    static HostDuty::Options options(Duration lifetime)
+    static HostDuty::Options options(Duration leaseTimeToLive)
     {
         HostDuty::Options options;
         options.prefix = "fleet/";
@@ -75,7 +75,7 @@
         options.weightsPrefix = "fleet/weights/";
         options.hostName = "a";
         options.record.address = {"127.0.0.1", 1};
-        options.lifetime = lifetime;
+        options.leaseTimeToLive = leaseTimeToLive;
         options.leaderKey = "fleet/leader";
         options.quarantinePrefix = "fleet/quarantine/";
         options.onLeader = [](const std::string & /*host*/) {};
--- a/tests/platform/test_orders_beside_silent_engines.cpp
+++ b/tests/platform/test_orders_beside_silent_engines.cpp
@@ -96,7 +96,7 @@
 {
     // Guards against weights that nobody loads for as long as a leader waits for each silent engine in turn.
     const TimePoint namedAt = BootClock::now();
-    duty.setNamedWeights({{"m", 2, namedAt}});
+    duty.setPublishedWeights({{"m", 2, namedAt}});
     while (ordered().size() < answeringEngines && BootClock::now() < namedAt + patience) {
         std::this_thread::sleep_for(10ms);
     }
--- a/tests/platform/test_weights_deadline.cpp
+++ b/tests/platform/test_weights_deadline.cpp
@@ -20,11 +20,11 @@
     });
     const ScriptedTarget &engine = addEngine(
         "e", {"m", 1}, [](ScriptedTarget::Connection &connection, const ScriptedTarget::Request &request) { connection.answer(request, 200, "old"); });
-    onLoop([](Gateway &gateway) { gateway.setNamedWeights({"m", 2, BootClock::now()}); });
+    onLoop([](Gateway &gateway) { gateway.setPublishedWeights({"m", 2, BootClock::now()}); });
     const std::string fields = "Lovageloft-Model: m\r\nLovageloft-Token-Count: 10,1\r\nLovageloft-Prefix-Hash: a:10\r\n";
     const std::string before = exchange(request("POST", "/safe/x", {}, fields));
     BOOST_TEST(before.ends_with("old"));
-    holdUp(useOfOlderWeights(deadline) + 400ms);
+    holdUp(olderWeightsGracePeriod(deadline) + 400ms);
     const std::string after = exchange(request("POST", "/safe/x", {}, fields));
     BOOST_TEST(after.starts_with("HTTP/1.1 503 "));
     BOOST_TEST(engine.requests() == 1);
--- a/tests/platform/test_weights_heard_late.cpp
+++ b/tests/platform/test_weights_heard_late.cpp
@@ -65,14 +65,14 @@
 class Heard
 {
 public:
-    void add(const NamedWeights &weights)
+    void add(const PublishedWeights &weights)
     {
         const std::lock_guard lock(mutex_);
         all_.push_back(weights);
         changed_.notify_all();
     }
 
-    std::vector<NamedWeights> waitFor(std::size_t count)
+    std::vector<PublishedWeights> waitFor(std::size_t count)
     {
         std::unique_lock lock(mutex_);
         changed_.wait_for(lock, 10s, [&] { return all_.size() >= count; });
@@ -82,7 +82,7 @@
 private:
     std::mutex mutex_;
     std::condition_variable changed_;
-    std::vector<NamedWeights> all_;
+    std::vector<PublishedWeights> all_;
 };
 
 } // namespace
@@ -97,7 +97,7 @@
     CutStore store;
     Heard heard;
     ConfigurationFeed feed(records,
-                           {[](const auto &, TimePoint) {}, [](std::int64_t, TimePoint) {}, [&heard](const NamedWeights &weights) { heard.add(weights); }});
+                           {[](const auto &, TimePoint) {}, [](std::int64_t, TimePoint) {}, [&heard](const PublishedWeights &weights) { heard.add(weights); }});
     store.name(1);
     ConfigurationDuty duty(store, records, feed);
     duty.start();
@@ -117,8 +117,8 @@
 
     TargetDirectory directory(deadline);
     directory.setTargets(oneEngine());
-    for (const NamedWeights &weights : all) {
-        directory.setNamedWeights(weights);
+    for (const PublishedWeights &weights : all) {
+        directory.setPublishedWeights(weights);
     }
     BOOST_TEST(directory.engines(namedAt + deadline / 2).at(0).isServing);
     BOOST_TEST(!directory.engines(namedAt + deadline).at(0).isServing);
@@ -143,7 +143,7 @@
     addEngine("e", {"m", 1}, [](ScriptedTarget::Connection &connection, const ScriptedTarget::Request &request) { connection.answer(request, 200, "old"); });
     const TimePoint namedAt = BootClock::now();
     holdUp(1800ms);
-    onLoop([](Gateway &gateway) { gateway.setNamedWeights({"m", 2, BootClock::now()}); });
+    onLoop([](Gateway &gateway) { gateway.setPublishedWeights({"m", 2, BootClock::now()}); });
     BOOST_TEST(exchange(request("POST", "/safe/x", {}, text)).ends_with("old"));
     std::this_thread::sleep_for(namedAt + deadline - BootClock::now());
     BOOST_TEST(exchange(request("POST", "/safe/x", {}, text)).starts_with("HTTP/1.1 503 "));
