--- a/gateway/caller_session.cpp
+++ b/gateway/caller_session.cpp
@@ -153,7 +153,7 @@
     isClosed_ = true;
     timer_.cancel();
     if (const auto request = std::exchange(request_, nullptr)) {
-        request->onCallerGone();
+        request->onCallerDisconnected();
     }
     gateway_.onSessionEnded(self);
 }
@@ -161,7 +161,7 @@
 void CallerSession::onSent()
 {
     if (request_ != nullptr) {
-        request_->onCallerReady();
+        request_->onCallerBufferEmpty();
     }
 }
 
@@ -237,7 +237,7 @@
 {
     closesAfterAnswer_ = true;
     head_.version = 11;
-    gateway_.refuseUnread(*this, reason);
+    gateway_.refuseMalformed(*this, reason);
 }
 
 void CallerSession::close()
--- a/gateway/fleet_link.cpp
+++ b/gateway/fleet_link.cpp
@@ -85,9 +85,9 @@
     budget_.setLimits(limits, BootClock::now());
 }
 
-void FleetLink::takeTokens(std::string_view team, double tokens, TeamBudget::Answer answer)
+void FleetLink::takeTokens(std::string_view team, double tokens, TeamBudget::DecisionHandler answer)
 {
-    budget_.take(team, tokens, BootClock::now(), sendTokenRequest_, std::move(answer));
+    budget_.consume(team, tokens, BootClock::now(), sendTokenRequest_, std::move(answer));
     scheduleTokenTimeout();
 }
 
@@ -98,7 +98,7 @@
 
 void FleetLink::announceLoading(const std::string &targetId, Duration time)
 {
-    gateway_.leaveAlone(targetId, time);
+    gateway_.avoidTarget(targetId, time);
     peers_.broadcast(LoadingNotice{targetId, time});
 }
 
@@ -190,9 +190,9 @@
 {
     // It may have lain unread while this host stood still. Counted from now, engines that have long loaded would be left alone for seconds,
     // all of them after a change of weights; one that still loads declines, and is left alone then.
-    const Duration left = notice.time - gateway_.justStoodStill(BootClock::now());
+    const Duration left = notice.time - gateway_.recentPause(BootClock::now());
     if (left > Duration::zero()) {
-        gateway_.leaveAlone(notice.target, left);
+        gateway_.avoidTarget(notice.target, left);
     }
     onOrderOfOther_(notice.target);
 }
@@ -233,7 +233,7 @@
 
 bool FleetLink::isBehind() const
 {
-    return gateway_.justStoodStill(BootClock::now()) != Duration::zero();
+    return gateway_.recentPause(BootClock::now()) != Duration::zero();
 }
 
 void FleetLink::onProofRequest(const std::string &host, const ProofRequest &request)
@@ -245,7 +245,7 @@
 
 void FleetLink::onProofReply(const ProofReply &reply)
 {
-    gateway_.noteTableElsewhere(reply.revision, reply.version);
+    gateway_.notePeerTable(reply.revision, reply.version);
     if (relayedStore_ != nullptr) {
         relayedStore_->onProofReply(reply);
     }
--- a/gateway/fleet_link.h
+++ b/gateway/fleet_link.h
@@ -46,7 +46,7 @@
     void setLimits(std::span<const TeamLimit> limits);
 
     /// Takes tokens from a team's rate; `answer` is called at once or within some round trips.
-    void takeTokens(std::string_view team, double tokens, TeamBudget::Answer answer);
+    void takeTokens(std::string_view team, double tokens, TeamBudget::DecisionHandler answer);
     void giveBackTokens(std::string_view team, double tokens);
 
     /// A long prompt was sent to an engine; short ones are not told.
@@ -98,7 +98,7 @@
     PeerSocket peers_;
     TeamBudget budget_;
     boost::asio::steady_timer tokenTimer_;
-    TeamBudget::Send sendTokenRequest_;
+    TeamBudget::RequestSender sendTokenRequest_;
     std::function<void(RequestFingerprint)> recordQuarantine_ = [](RequestFingerprint) {};
     CrashGuard crashes_;
     std::vector<std::string> others_; ///< Names of the other hosts.
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -155,7 +155,7 @@
     }
 }
 
-void Gateway::noteTableElsewhere(std::int64_t revision, std::int64_t version)
+void Gateway::notePeerTable(std::int64_t revision, std::int64_t version)
 {
     if (freshness_.noteElsewhere({version, revision})) {
         writeLog(LogLevel::Warning, "configuration_of_older_copy", {{"version", table_->version}, {"elsewhere", version}});
@@ -216,7 +216,7 @@
     }
 }
 
-Duration Gateway::justStoodStill(TimePoint now) const
+Duration Gateway::recentPause(TimePoint now) const
 {
     return standstills_.justEnded(now);
 }
@@ -434,7 +434,7 @@
     }
 }
 
-void Gateway::leaveAlone(std::string_view targetId, Duration time)
+void Gateway::avoidTarget(std::string_view targetId, Duration time)
 {
     directory_.avoid(targetId, BootClock::now() + time);
     dispatch_.invalidateEngines();
@@ -473,7 +473,7 @@
     return status;
 }
 
-void Gateway::refuseUnread(CallerSession &session, const Reason &reason)
+void Gateway::refuseMalformed(CallerSession &session, const Reason &reason)
 {
     writeLog(LogLevel::Info, "message_refused", {{"code", std::int64_t{static_cast<int>(reason.code)}}, {"reason", reason.text}});
     refuse(&session, reason, RunState::NotRun, {});
@@ -517,7 +517,7 @@
     if (now < agesAskedUntil_ || directory_.needsAge(now)) {
         fleet_.askWeightsAges();
     }
-    dispatch_.renewEngines(now);
+    dispatch_.refreshEngines(now);
     const bool ready = isReady(now);
     if (ready != wasReady_) {
         wasReady_ = ready;
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -90,7 +90,7 @@
     void noteNewerTable(std::int64_t revision);
 
     /// Another host has this configuration in force; see TableFreshness::noteElsewhere.
-    void noteTableElsewhere(std::int64_t revision, std::int64_t version);
+    void notePeerTable(std::int64_t revision, std::int64_t version);
 
     void setTargets(std::shared_ptr<const TargetMap> targets);
     void setNamedWeights(const NamedWeights &weights);
@@ -115,7 +115,7 @@
     void setLimits(const GatewayLimits &limits);
 
     /// The time since a standstill of this process began that ends now or ended a moment ago; else zero.
-    Duration justStoodStill(TimePoint now) const;
+    Duration recentPause(TimePoint now) const;
 
     /// Begins a graceful shutdown.
     void drain();
@@ -185,7 +185,7 @@
     void beginWhenConfigured(const std::shared_ptr<RoutedRequest> &request);
 
     /// A target is about to load and declines requests meanwhile.
-    void leaveAlone(std::string_view targetId, Duration time);
+    void avoidTarget(std::string_view targetId, Duration time);
 
     void onTargetLoad(std::string_view engineName, const TargetLoad &load);
 
@@ -196,7 +196,7 @@
     int refuse(CallerSession *session, const Reason &reason, RunState runState, Duration retryAfter);
 
     /// The same for a message that could not be read.
-    void refuseUnread(CallerSession &session, const Reason &reason);
+    void refuseMalformed(CallerSession &session, const Reason &reason);
 
     void onRequestEnded(const RoutedRequest &request, const EndedRequest &ended);
     void onSessionEnded(const std::shared_ptr<CallerSession> &session);
--- a/gateway/gauges.cpp
+++ b/gateway/gauges.cpp
@@ -16,7 +16,7 @@
     metrics.set("lovageloft_idle_target_connections", static_cast<double>(gateway.pool().idleCount()));
     metrics.set("lovageloft_configuration_version", table != nullptr ? static_cast<double>(table->version) : 0);
     metrics.set("lovageloft_targets_known", static_cast<double>(gateway.targets().all().size()));
-    metrics.set("lovageloft_targets_overdue_seconds", toSeconds(gateway.dispatch().enginesOverdue(now)));
+    metrics.set("lovageloft_targets_overdue_seconds", toSeconds(gateway.dispatch().engineListOverdue(now)));
     metrics.set("lovageloft_weights_age_seconds", toSeconds(now - gateway.targets().newestNamedAt().value_or(now)));
     metrics.set("lovageloft_requests_quarantined", static_cast<double>(gateway.fleet().crashes().quarantinedCount(now)));
     metrics.set("lovageloft_ready", gateway.isReady(now) ? 1 : 0);
--- a/gateway/request_dispatch.cpp
+++ b/gateway/request_dispatch.cpp
@@ -57,12 +57,12 @@
 
 } // namespace
 
-RequestDispatch::RequestDispatch(boost::asio::io_context &loop, std::function<void()> renewEngines)
+RequestDispatch::RequestDispatch(boost::asio::io_context &loop, std::function<void()> refreshEngines)
     : loop_(loop)
     , timer_(loop)
     , scheduler_(queueLimits(), placementPolicy())
     , random_(std::random_device{}())
-    , renewEngines_(std::move(renewEngines))
+    , refreshEngines_(std::move(refreshEngines))
 {
 }
 
@@ -81,14 +81,14 @@
     }
 }
 
-void RequestDispatch::renewEngines(TimePoint now)
+void RequestDispatch::refreshEngines(TimePoint now)
 {
     if (enginesEnd_ && now >= *enginesEnd_) {
-        renewEngines_();
+        refreshEngines_();
     }
 }
 
-Duration RequestDispatch::enginesOverdue(TimePoint now) const
+Duration RequestDispatch::engineListOverdue(TimePoint now) const
 {
     return enginesEnd_ ? std::max(now - *enginesEnd_, Duration::zero()) : Duration::zero();
 }
@@ -167,7 +167,7 @@
     report.incarnation = static_cast<std::uint64_t>(target.incarnation);
     report.runningRequests = load.running;
     report.waitingRequests = load.waiting;
-    report.queuedPrefillTokens = load.waiting * plainWorkTokens;
+    report.queuedPrefillTokens = load.waiting * serviceCallWorkTokens;
     scheduler_.onLoadReport(engineName, report, BootClock::now());
 }
 
@@ -198,7 +198,7 @@
 {
     // A host that has stood still decides before its timers have run. Requests would go to engines whose time ended meanwhile, such as
     // those with older weights, for which callers get answers that no longer count.
-    renewEngines(BootClock::now());
+    refreshEngines(BootClock::now());
     isDecideScheduled_ = false;
     for (const SchedulerOutcome &outcome : scheduler_.decide(BootClock::now(), random_)) {
         const RequestId id = std::visit([](const auto &known) { return known.id; }, outcome);
--- a/gateway/request_dispatch.h
+++ b/gateway/request_dispatch.h
@@ -21,15 +21,15 @@
 struct DispatchNotice;
 
 /// What a call to a plain service counts as in the scheduler's units.
-inline constexpr std::uint32_t plainWorkTokens = 100;
+inline constexpr std::uint32_t serviceCallWorkTokens = 100;
 
 /// Joins the scheduler, which knows ids only, to the requests that it decides about: those that wait for a target and those at one.
 /// For the event loop only.
 class RequestDispatch
 {
 public:
-    /// `renewEngines` is called when the targets given last don't hold any more, and is to set new ones.
-    RequestDispatch(boost::asio::io_context &loop, std::function<void()> renewEngines);
+    /// `refreshEngines` is called when the targets given last don't hold any more, and is to set new ones.
+    RequestDispatch(boost::asio::io_context &loop, std::function<void()> refreshEngines);
 
     /// The targets in service, whenever the directory has changed; they hold until `endsAt` at most.
     void setEngines(std::vector<SchedulerEngine> &&engines, std::optional<TimePoint> endsAt);
@@ -39,10 +39,10 @@
     void invalidateEngines();
 
     /// Renews the targets if they don't hold any more.
-    void renewEngines(TimePoint now);
+    void refreshEngines(TimePoint now);
 
     /// For how long they have not held.
-    Duration enginesOverdue(TimePoint now) const;
+    Duration engineListOverdue(TimePoint now) const;
 
     void setHostCount(std::size_t count);
     void setRetryLimits(const RetryBudget::Limits &limits);
@@ -87,7 +87,7 @@
     Random random_;
     std::unordered_map<RequestId, std::shared_ptr<RoutedRequest>> requests_;
     std::uint64_t lastRequest_ = 0;
-    std::function<void()> renewEngines_;
+    std::function<void()> refreshEngines_;
     std::optional<TimePoint> enginesEnd_;
     bool isDecideScheduled_ = false;
 };
--- a/gateway/request_intake.cpp
+++ b/gateway/request_intake.cpp
@@ -132,7 +132,7 @@
     request.cacheSalt = cacheScope();
     request.model = gateway_.targets().schedulerModel(service_, caller_.model);
     request.priority = priorityClass(priority());
-    request.promptTokens = caller_.promptTokens.value_or(plainWorkTokens);
+    request.promptTokens = caller_.promptTokens.value_or(serviceCallWorkTokens);
     request.outputTokens = caller_.outputTokens;
     digestParts(sharedParts(), request.blockDigests);
     return request;
--- a/gateway/routed_request.cpp
+++ b/gateway/routed_request.cpp
@@ -273,7 +273,7 @@
     }
 }
 
-void RoutedRequest::onCallerReady()
+void RoutedRequest::onCallerBufferEmpty()
 {
     if (isReadingPaused_ && connection_ != nullptr) {
         isReadingPaused_ = false;
@@ -427,7 +427,7 @@
     }
 }
 
-void RoutedRequest::onCallerGone()
+void RoutedRequest::onCallerDisconnected()
 {
     const auto self = shared_from_this();
     session_.reset();
--- a/gateway/routed_request.h
+++ b/gateway/routed_request.h
@@ -38,10 +38,10 @@
 
     /// The caller closed its connection. Work that may be repeated and streams are cancelled; a call that must run once is left
     /// to end, as breaking it off leaves open whether it took effect.
-    void onCallerGone();
+    void onCallerDisconnected();
 
     /// The caller has taken all that was sent.
-    void onCallerReady();
+    void onCallerBufferEmpty();
 
     /// What the scheduler decided.
     void onAssigned(const SchedulerAssignment &assignment);
--- a/gateway/target_directory.cpp
+++ b/gateway/target_directory.cpp
@@ -17,7 +17,7 @@
 /// Speed at which engines are assumed to compute prompts until their answers show otherwise; about a mid-size model on one accelerator.
 constexpr double assumedPrefillTokensPerSecond = 90'000;
 
-/// For plain services the same figures describe calls: one counts as plainWorkTokens, of which a target does so many a second and slot.
+/// For plain services the same figures describe calls: one counts as serviceCallWorkTokens, of which a target does so many a second and slot.
 constexpr double plainTokensPerSecondAndSlot = 2'000;
 
 /// Part of an engine's memory that keeps prompts; running requests take the rest: two or three prompts of the eight that fit.
--- a/gateway/team_budget.cpp
+++ b/gateway/team_budget.cpp
@@ -62,7 +62,7 @@
     updateHomes(now);
 }
 
-void TeamBudget::take(std::string_view team, double tokens, TimePoint now, const Send &send, Answer answer)
+void TeamBudget::consume(std::string_view team, double tokens, TimePoint now, const RequestSender &send, DecisionHandler answer)
 {
     Reason reason;
     Duration retryAfter{};
@@ -87,7 +87,7 @@
     return {request.id, isGranted, retryAfter};
 }
 
-void TeamBudget::onReply(const TokenReply &reply, TimePoint now, const Send &send)
+void TeamBudget::onReply(const TokenReply &reply, TimePoint now, const RequestSender &send)
 {
     const auto found = pending_.find(reply.id);
     if (found == pending_.end()) {
@@ -101,7 +101,7 @@
     askNext(reply.id, now, send);
 }
 
-void TeamBudget::onTick(TimePoint now, const Send &send)
+void TeamBudget::onTick(TimePoint now, const RequestSender &send)
 {
     std::vector<std::uint64_t> late;
     for (const auto &[id, pending] : pending_) {
@@ -134,7 +134,7 @@
     return candidates_.winners(team, homesPerTeam);
 }
 
-void TeamBudget::askNext(std::uint64_t id, TimePoint now, const Send &send)
+void TeamBudget::askNext(std::uint64_t id, TimePoint now, const RequestSender &send)
 {
     Pending &pending = pending_.at(id);
     const std::vector<std::string> homes = homesOf(pending.team);
@@ -158,7 +158,7 @@
 
 void TeamBudget::finish(std::uint64_t id, const TokenDecision &decision)
 {
-    const Answer answer = std::move(pending_.at(id).answer);
+    const DecisionHandler answer = std::move(pending_.at(id).answer);
     pending_.erase(id);
     answer(decision);
 }
--- a/gateway/team_budget.h
+++ b/gateway/team_budget.h
@@ -35,8 +35,8 @@
 class TeamBudget
 {
 public:
-    using Answer = std::function<void(const TokenDecision &)>;
-    using Send = std::function<void(const std::string &host, const TokenRequest &)>;
+    using DecisionHandler = std::function<void(const TokenDecision &)>;
+    using RequestSender = std::function<void(const std::string &host, const TokenRequest &)>;
 
     explicit TeamBudget(std::string host);
 
@@ -47,15 +47,15 @@
     void setHosts(std::size_t hosts, const std::vector<std::string> &candidates, double share, TimePoint now);
 
     /// Takes tokens. `answer` is called at once or later, from `onReply` or `onTick`.
-    void take(std::string_view team, double tokens, TimePoint now, const Send &send, Answer answer);
+    void consume(std::string_view team, double tokens, TimePoint now, const RequestSender &send, DecisionHandler answer);
 
     /// A home's part: whether its pool has the tokens.
     TokenReply onRequest(const TokenRequest &request, TimePoint now);
 
-    void onReply(const TokenReply &reply, TimePoint now, const Send &send);
+    void onReply(const TokenReply &reply, TimePoint now, const RequestSender &send);
 
     /// Gives up on homes that have not answered. To be called often enough, at `nextTimeout`.
-    void onTick(TimePoint now, const Send &send);
+    void onTick(TimePoint now, const RequestSender &send);
     std::optional<TimePoint> nextTimeout() const;
 
     /// Returns tokens of a request that did not run.
@@ -70,11 +70,11 @@
         std::size_t homesSilent = 0;
         TimePoint deadline;
         Duration retryAfter{};
-        Answer answer;
+        DecisionHandler answer;
     };
 
     std::vector<std::string> homesOf(std::string_view team) const;
-    void askNext(std::uint64_t id, TimePoint now, const Send &send);
+    void askNext(std::uint64_t id, TimePoint now, const RequestSender &send);
     void finish(std::uint64_t id, const TokenDecision &decision);
     void updateHomes(TimePoint now);
 
--- a/tests/gateway/test_request_dispatch.cpp
+++ b/tests/gateway/test_request_dispatch.cpp
@@ -22,8 +22,8 @@
         loop.restart();
     }
     BOOST_TEST(renewals == 0);
-    dispatch.renewEngines(BootClock::now());
-    dispatch.renewEngines(BootClock::now());
+    dispatch.refreshEngines(BootClock::now());
+    dispatch.refreshEngines(BootClock::now());
     BOOST_TEST(renewals == 1);
 }
 
--- a/tests/gateway/test_team_budget.cpp
+++ b/tests/gateway/test_team_budget.cpp
@@ -34,9 +34,9 @@
         }
     }
 
-    void take(const std::string &host, const std::string &team, double tokens)
+    void consume(const std::string &host, const std::string &team, double tokens)
     {
-        hosts.at(host)->take(team, tokens, now, sendFrom(host), [this, tokens](const TokenDecision &decision) {
+        hosts.at(host)->consume(team, tokens, now, sendFrom(host), [this, tokens](const TokenDecision &decision) {
             if (decision.isGranted) {
                 granted += tokens;
             } else {
@@ -76,7 +76,7 @@
         TokenRequest request;
     };
 
-    TeamBudget::Send sendFrom(const std::string &from)
+    TeamBudget::RequestSender sendFrom(const std::string &from)
     {
         return [this, from](const std::string &to, const TokenRequest &request) {
             ++requests;
@@ -124,7 +124,7 @@
             if (randomBelow(fleet.random, 50) == 0) {
                 fleet.isCut[host] = !fleet.isCut[host];
             }
-            fleet.take(host, "large", static_cast<double>(1 + randomBelow(fleet.random, 30'000)));
+            fleet.consume(host, "large", static_cast<double>(1 + randomBelow(fleet.random, 30'000)));
             fleet.advance(step);
         }
         const double seconds = toSeconds(step) * steps;
@@ -140,7 +140,7 @@
     Fleet fleet(8, 1);
     fleet.advance(3s);
     for (int i = 0; i < 40; ++i) {
-        fleet.take("h3", "large", 17'000);
+        fleet.consume("h3", "large", 17'000);
         fleet.advance(250ms);
     }
     BOOST_TEST(fleet.granted > 0.95 * 40 * 17'000);
@@ -151,7 +151,7 @@
     // A small team sends one prompt of three times its burst. A bucket that never holds that much would refuse it for ever.
     Fleet fleet(8, 1);
     fleet.advance(30s);
-    fleet.take("h0", "small", 15'000);
+    fleet.consume("h0", "small", 15'000);
     BOOST_TEST(fleet.granted == 15'000);
 }
 
@@ -164,7 +164,7 @@
         fleet.isCut[name] = name != "h0";
     }
     for (int i = 0; i < 20; ++i) {
-        fleet.take("h0", "large", 17'000);
+        fleet.consume("h0", "large", 17'000);
     }
     fleet.advance(40ms);
     fleet.advance(40ms);
@@ -195,11 +195,11 @@
     Fleet fleet(8, 1);
     // A quarter of the two pools, in whole requests.
     for (int i = 0; i < 8; ++i) {
-        fleet.take("h" + std::to_string(i), "large", 2'000);
+        fleet.consume("h" + std::to_string(i), "large", 2'000);
     }
     BOOST_TEST(fleet.granted == 16'000);
     for (int i = 0; i < 200; ++i) {
-        fleet.take("h" + std::to_string(i % 8), "large", 2'000);
+        fleet.consume("h" + std::to_string(i % 8), "large", 2'000);
     }
     BOOST_TEST(fleet.granted < 45'000);
 }
@@ -220,7 +220,7 @@
     double owed = 0;
     for (double at = 0; at < seconds; at += toSeconds(step)) {
         for (owed += 4.6 * rate / 1.8 * toSeconds(step); owed >= prompt; owed -= prompt) {
-            fleet.take("h" + std::to_string(randomBelow(fleet.random, hosts)), "large", prompt);
+            fleet.consume("h" + std::to_string(randomBelow(fleet.random, hosts)), "large", prompt);
         }
         fleet.advance(step);
     }
@@ -242,7 +242,7 @@
     double owed = 0;
     for (int i = 0; i < 1'500; ++i) {
         for (owed += rate / 1.8 * toSeconds(step); owed >= prompt; owed -= prompt) {
-            fleet.take("h" + std::to_string(randomBelow(fleet.random, hosts)), "large", prompt);
+            fleet.consume("h" + std::to_string(randomBelow(fleet.random, hosts)), "large", prompt);
         }
         fleet.advance(step);
     }
