--- a/decision/dispatch_table.h
+++ b/decision/dispatch_table.h
@@ -20,7 +20,7 @@
     std::uint32_t epoch = 0; ///< Epoch of the engine; distinguishes it from an earlier engine with the same index.
     TimePoint sentAt = {};
     TimePoint firstTokenAt = {};
-    double usualFirstToken = 0; ///< Expected seconds from `sentAt` to the first token at the engine's normal speed.
+    double nominalFirstTokenSeconds = 0; ///< Expected seconds from `sentAt` to the first token at the engine's normal speed.
     std::uint32_t expectedCachedTokens = 0;
     bool isAnswered = false; ///< Whether the first token has arrived.
 };
--- a/decision/request_scheduler.h
+++ b/decision/request_scheduler.h
@@ -31,7 +31,8 @@
     double cacheTokens = 0; ///< Capacity of its KV cache in tokens; 0 if unknown.
     bool isServing = true;
     bool isRemote = false; ///< In another data centre than this host.
-    std::optional<TimePoint> lastBegin = std::nullopt; ///< No request whose first token may come later is sent to it; not set if there is no such limit.
+    std::optional<TimePoint> firstTokenDeadline =
+        std::nullopt; ///< No request whose first token may come later is sent to it; not set if there is no such limit.
 };
 
 /// A model request to be scheduled.
@@ -61,7 +62,7 @@
     RequestId id{};
     std::string engine;
     std::uint32_t expectedCachedTokens = 0;
-    double expectedFirstToken = 0; ///< Seconds from now.
+    double expectedFirstTokenSeconds = 0; ///< Seconds from now.
     std::uint32_t workTokens = 0; ///< Work of the engine, expressed as the number of prompt tokens of a short prompt.
     std::uint32_t newTokens = 0; ///< Tokens that the request adds to the engine's cache.
     std::vector<BlockHash> blocks; ///< Block hashes of the prompt for this engine's weights.
@@ -126,8 +127,8 @@
     /// Refuses new requests; queued requests are still served.
     void drain();
 
-    /// Records that another host sent a request to an engine; see Placement::onDispatchedElsewhere.
-    void onDispatchedElsewhere(std::string_view engine, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now);
+    /// Records that another host sent a request to an engine; see Placement::onDispatchedByPeer.
+    void onDispatchedByPeer(std::string_view engine, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now);
 
     /// Records the first token; `cachedTokens` is the engine's own count if the answer contains one.
     void onFirstToken(RequestId id, std::optional<std::uint32_t> cachedTokens, TimePoint now);
--- a/gateway/fleet_link.h
+++ b/gateway/fleet_link.h
@@ -19,7 +19,7 @@
 class Gateway;
 
 /// Requests that compute less than one cache block are not told to other hosts: they keep an engine busy for 11 ms at most.
-inline constexpr std::uint32_t quietTokens = 1'024;
+inline constexpr std::uint32_t minAnnouncedTokens = 1'024;
 
 /// This host among the others: what it tells them and hears from them in datagrams, and the teams' rates that it keeps with them. For the
 /// event loop only.
@@ -46,7 +46,7 @@
     void setLimits(std::span<const TeamLimit> limits);
 
     /// Takes tokens from a team's rate; `answer` is called at once or within some round trips.
-    void takeTokens(std::string_view team, double tokens, TeamBudget::Answer answer);
+    void takeTokens(std::string_view team, double tokens, TeamBudget::DecisionHandler answer);
     void giveBackTokens(std::string_view team, double tokens);
 
     /// A long prompt was sent to an engine; short ones are not told.
@@ -98,7 +98,7 @@
     PeerSocket peers_;
     TeamBudget budget_;
     boost::asio::steady_timer tokenTimer_;
-    TeamBudget::Send sendTokenRequest_;
+    TeamBudget::RequestSender sendTokenRequest_;
     std::function<void(RequestFingerprint)> recordQuarantine_ = [](RequestFingerprint) {};
     CrashGuard crashes_;
     std::vector<std::string> others_; ///< Names of the other hosts.
