--- a/decision/admission_queue.cpp
+++ b/decision/admission_queue.cpp
@@ -28,8 +28,8 @@
 // Seconds of service over which measurements of a lane's share decay, the same as for the rate of the model.
 constexpr double shareDecaySeconds = 10;
 
-// Limits by how much a low measured share lengthens the wait derived from the backlog. 2 means that half of the service goes to
-// requests that arrive later. One or two long prompts at the start of a burst can make the share look lower than that.
+// Limits by how much a low measured share lengthens the wait derived from the backlog. A factor of 2 assumes that at most half of
+// the service goes to requests that arrive later. One or two long prompts at the start of a burst can make that part look larger.
 constexpr double maxShareCorrection = 2;
 
 // Measured shares are dropped this long after the queue became empty, since the competing load has changed by then.
--- a/decision/request_scheduler.cpp
+++ b/decision/request_scheduler.cpp
@@ -53,9 +53,9 @@
             continue;
         }
         Engine &entry = kept[*index];
-        const auto known = engines_.find(*index);
-        if (known != engines_.end()) {
-            entry = known->second;
+        const auto previous = engines_.find(*index);
+        if (previous != engines_.end()) {
+            entry = previous->second;
         } else {
             entry.generation = ++lastGeneration_;
         }
@@ -201,13 +201,13 @@
         return true;
     }
     const SchedulerRequest &request = found->second;
-    const PlacementRequest placed = placementRequest(request);
+    const PlacementRequest toPlace = placementRequest(request);
     for (auto &[index, engine] : engines_) {
         if (engine.model == queued.model) {
             placement_.setWindowOpen(index, engine.window.canStart(1));
         }
     }
-    choice.engine = placement_.place(placed, now, random, choice.reason);
+    choice.engine = placement_.place(toPlace, now, random, choice.reason);
     if (choice.engine) {
         return true;
     }
@@ -236,11 +236,11 @@
             failedScratch_.push_back(*index);
         }
     }
-    PlacementRequest placed{chainsOf(request), request.promptTokens};
-    placed.outputTokens = request.outputTokens;
-    placed.bytes = request.bytes;
-    placed.excluded = failedScratch_;
-    return placed;
+    PlacementRequest toPlace{chainsOf(request), request.promptTokens};
+    toPlace.outputTokens = request.outputTokens;
+    toPlace.bytes = request.bytes;
+    toPlace.excluded = failedScratch_;
+    return toPlace;
 }
 
 SchedulerOutcome RequestScheduler::assign(const QueuedRequest &queued, TimePoint now, const Choice &choice)
@@ -250,16 +250,16 @@
         return refuse(queued.id, {ResultCode::NoTarget, {}}, noTargetRetryAfter);
     }
     const PlacementDecision &decision = *choice.engine;
-    const PlacementRequest placed = placementRequest(found->second);
-    const std::int64_t missed = std::max<std::int64_t>(1, std::int64_t{placed.promptTokens} - decision.expectedCachedTokens);
-    const DispatchId dispatch = placement_.onDispatched(placed, decision, now);
+    const PlacementRequest toPlace = placementRequest(found->second);
+    const std::int64_t missed = std::max<std::int64_t>(1, std::int64_t{toPlace.promptTokens} - decision.expectedCachedTokens);
+    const DispatchId dispatch = placement_.onDispatched(toPlace, decision, now);
     Engine &engine = engines_[decision.engine];
     inFlight_[queued.id] = {dispatch, decision.engine, engine.generation, engine.window.start(missed, now)};
     SchedulerAssignment assignment{
         queued.id, std::string(placement_.engineName(decision.engine)), decision.expectedCachedTokens, decision.expectedFirstTokenSeconds, 0, 0, {}, {}};
     assignment.workTokens = decision.workTokens;
     assignment.newTokens = decision.newTokens;
-    for (const VersionedChain &chain : placed.chains) {
+    for (const VersionedChain &chain : toPlace.chains) {
         if (chain.modelVersion == decision.modelVersion) {
             assignment.blocks.assign(chain.blocks.begin(), chain.blocks.end());
             assignment.holder = findHolder(chain.blocks, decision);
--- a/decision/request_scheduler.h
+++ b/decision/request_scheduler.h
@@ -31,8 +31,8 @@
     double cacheTokens = 0; ///< Capacity of its KV cache in tokens; 0 if unknown.
     bool isServing = true;
     bool isRemote = false; ///< In another data centre than this host.
-    std::optional<TimePoint> firstTokenDeadline =
-        std::nullopt; ///< No request whose first token may come later is sent to it; not set if there is no such limit.
+    /// No request whose first token may come later is sent to it; not set if there is no such limit.
+    std::optional<TimePoint> firstTokenDeadline = std::nullopt;
 };
 
 /// A model request to be scheduled.
--- a/decision/team_rate_limiter.cpp
+++ b/decision/team_rate_limiter.cpp
@@ -27,10 +27,10 @@
 {
     std::map<std::string, Bucket, std::less<>> buckets;
     for (const TeamLimit &limit : limits) {
-        const auto known = buckets_.find(limit.name);
+        const auto previous = buckets_.find(limit.name);
         Bucket bucket;
-        if (known != buckets_.end()) {
-            bucket = known->second;
+        if (previous != buckets_.end()) {
+            bucket = previous->second;
             refill(bucket, now);
             bucket.limit = limit;
             bucket.tokens = std::min(bucket.tokens, capacity(bucket));
