--- a/gateway/fleet_link.cpp
+++ b/gateway/fleet_link.cpp
@@ -85,13 +85,13 @@
     budget_.setLimits(limits, BootClock::now());
 }
 
-void FleetLink::takeTokens(std::string_view team, double tokens, TeamBudget::Answer answer)
+void FleetLink::acquireTokens(std::string_view team, double tokens, TeamBudget::Answer answer)
 {
     budget_.take(team, tokens, BootClock::now(), sendTokenRequest_, std::move(answer));
     scheduleTokenTimeout();
 }
 
-void FleetLink::giveBackTokens(std::string_view team, double tokens)
+void FleetLink::refundTokens(std::string_view team, double tokens)
 {
     budget_.refund(team, tokens);
 }
@@ -108,12 +108,12 @@
     peers_.broadcast(CacheStoreNotice{address, isAlive});
 }
 
-void FleetLink::askWeightsAges()
+void FleetLink::queryWeightsAges()
 {
     forSomeOthers([this](const std::string &host) { peers_.send(host, WeightsQuestion{}); });
 }
 
-void FleetLink::askProofs()
+void FleetLink::queryProofs()
 {
     forSomeOthers([this](const std::string &host) { peers_.send(host, ProofRequest{}); });
 }
--- a/gateway/fleet_link.h
+++ b/gateway/fleet_link.h
@@ -46,8 +46,8 @@
     void setLimits(std::span<const TeamLimit> limits);
 
     /// Takes tokens from a team's rate; `answer` is called at once or within some round trips.
-    void takeTokens(std::string_view team, double tokens, TeamBudget::Answer answer);
-    void giveBackTokens(std::string_view team, double tokens);
+    void acquireTokens(std::string_view team, double tokens, TeamBudget::Answer answer);
+    void refundTokens(std::string_view team, double tokens);
 
     /// A long prompt was sent to an engine; short ones are not told.
     void announceDispatch(const SchedulerAssignment &assignment);
@@ -66,10 +66,10 @@
     const CrashGuard &crashes() const;
 
     /// Asks a few hosts how long ago the weights were named that this host found when it started.
-    void askWeightsAges();
+    void queryWeightsAges();
 
     /// Asks a few hosts for the configuration that they have in force.
-    void askProofs();
+    void queryProofs();
 
     /// On a relay, now and then: see RelayedStore::sendHeartbeat.
     void sendHeartbeat(TimePoint now);
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -177,7 +177,7 @@
 {
     const TimePoint now = BootClock::now();
     NamedWeights heard = weights;
-    heard.silence = std::max(heard.silence, standstills_.justEnded(now) - (now - weights.learntAt));
+    heard.silence = std::max(heard.silence, pauseDetector_.recentPause(now) - (now - weights.learntAt));
     writeLog(LogLevel::Info, "weights_named", {{"model", weights.model}, {"version", weights.version}, {"silence_ms", toMillis(heard.silence)}});
     directory_.setNamedWeights(heard);
     agesAskedUntil_ = now + ageQuestionTime;
@@ -207,7 +207,7 @@
 void Gateway::learnWeightsAge(const WeightsAge &age)
 {
     const TimePoint now = BootClock::now();
-    if (standstills_.justEnded(now) != Duration::zero()) {
+    if (pauseDetector_.recentPause(now) != Duration::zero()) {
         return; // It may have lain here unread, and be older than it says. The question is asked again.
     }
     if (directory_.learnAge({age.model, age.version, now - age.age})) {
@@ -218,7 +218,7 @@
 
 Duration Gateway::justStoodStill(TimePoint now) const
 {
-    return standstills_.justEnded(now);
+    return pauseDetector_.recentPause(now);
 }
 
 void Gateway::setHosts(const std::map<std::string, HostRecord> &hosts, double share)
@@ -508,14 +508,14 @@
 void Gateway::tick()
 {
     const TimePoint now = BootClock::now();
-    standstills_.look(now);
+    pauseDetector_.tick(now);
     pool_.closeStale(now);
     fleet_.sendHeartbeat(now);
     if (now < proofsAskedUntil_) {
-        fleet_.askProofs();
+        fleet_.queryProofs();
     }
     if (now < agesAskedUntil_ || directory_.needsAge(now)) {
-        fleet_.askWeightsAges();
+        fleet_.queryWeightsAges();
     }
     dispatch_.renewEngines(now);
     const bool ready = isReady(now);
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -12,11 +12,11 @@
 #include "core/metrics.h"
 #include "gateway/fleet_link.h"
 #include "gateway/operator_view.h"
+#include "gateway/pause_detector.h"
 #include "gateway/protocol.h"
 #include "gateway/request_dispatch.h"
 #include "gateway/request_metrics.h"
 #include "gateway/routing_table.h"
-#include "gateway/standstills.h"
 #include "gateway/status_server.h"
 #include "gateway/table_freshness.h"
 #include "gateway/target_directory.h"
@@ -240,7 +240,7 @@
     double share_ = 0; ///< This host's part of what is divided evenly.
     std::string leader_;
     bool hasTargets_ = false;
-    Standstills standstills_;
+    PauseDetector pauseDetector_;
     TimePoint agesAskedUntil_;
     bool isAccepting_ = false;
     std::optional<TimePoint> drainStartedAt_;
--- a/gateway/gateway_settings.h
+++ b/gateway/gateway_settings.h
@@ -23,13 +23,13 @@
     Duration configurationWindow{}; ///< A change must be in force within that time.
     Duration weightsDeadline{}; ///< New weights must serve all new requests within that time.
     Duration leaderLease{};
-    Duration shutdownLimit{}; ///< From the signal to stop until the process is killed.
+    Duration shutdownTimeout{}; ///< From the signal to stop until the process is killed.
     bool enginesCheckFencing = true;
     double retryRatio = 0.1; ///< Retries per request over all hosts.
     double retrySlack = 0; ///< Retries that are allowed on top, over all hosts, within ten seconds.
     double quotaOver = 0; ///< Part of a team's limit by which it may be passed.
     double quotaSlack = 0; ///< Tokens by which it may be passed on top, within one window.
-    Duration shortestLease{}; ///< The store grants none below.
+    Duration minLeaseTimeToLive{}; ///< The store grants none below.
 };
 
 } // namespace Lovageloft
--- a/gateway/standstills.cpp
+++ b/gateway/pause_detector.cpp
@@ -1,4 +1,4 @@
-#include "gateway/standstills.h"
+#include "gateway/pause_detector.h"
 
 #include <utility>
 
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void Standstills::look(TimePoint now)
+void PauseDetector::tick(TimePoint now)
 {
     const auto before = std::exchange(lookedAt_, now);
     if (before && now - *before > shortestStandstill) {
@@ -29,7 +29,7 @@
     }
 }
 
-Duration Standstills::justEnded(TimePoint now) const
+Duration PauseDetector::recentPause(TimePoint now) const
 {
     const Duration since = lookedAt_ ? now - *lookedAt_ : Duration::zero();
     if (since > shortestStandstill) {
--- a/gateway/protocol.h
+++ b/gateway/protocol.h
@@ -27,7 +27,7 @@
     std::optional<std::uint32_t> promptTokens;
     std::uint32_t outputTokens = 0; ///< The most it wants.
     std::vector<PromptPart> parts; ///< In their order.
-    std::optional<Duration> patience; ///< How long the caller waits from now on.
+    std::optional<Duration> timeout; ///< How long the caller waits from now on.
     std::string lastEventId; ///< Not empty: go on after this event.
 };
 
@@ -59,7 +59,7 @@
 {
     std::string requestId; ///< Of the request that it answers.
     bool isNotExecuted = false; ///< The target promises that the request did not run.
-    bool isOtherTarget = false; ///< Another target has this address, or it has other weights than were expected.
+    bool isTargetMismatch = false; ///< Another target has this address, or it has other weights than were expected.
     std::string targetId; ///< Where the answer names it.
     std::optional<TargetLoad> load;
 };
--- a/gateway/request_log.cpp
+++ b/gateway/request_log.cpp
@@ -28,11 +28,11 @@
               {"configuration", intake_.configurationVersion()}});
 }
 
-void RequestLog::declined(std::string_view target, int status, bool isOtherTarget) const
+void RequestLog::declined(std::string_view target, int status, bool isTargetMismatch) const
 {
     writeLog(LogLevel::Info,
              "request_declined",
-             {{"request", intake_.caller().id}, {"target", target}, {"status", std::int64_t{status}}, {"other_target", isOtherTarget}});
+             {{"request", intake_.caller().id}, {"target", target}, {"status", std::int64_t{status}}, {"other_target", isTargetMismatch}});
 }
 
 void RequestLog::lost(std::string_view target, RequestFingerprint fingerprint, std::string_view why, bool wasNotSent, bool wasRelayed) const
--- a/gateway/request_log.h
+++ b/gateway/request_log.h
@@ -31,7 +31,7 @@
     void sent(const Sent &sent) const;
 
     /// The target says that it did not run the request.
-    void declined(std::string_view target, int status, bool isOtherTarget) const;
+    void declined(std::string_view target, int status, bool isTargetMismatch) const;
 
     /// The connection to the target ended.
     void lost(std::string_view target, RequestFingerprint fingerprint, std::string_view why, bool wasNotSent, bool wasRelayed) const;
--- a/gateway/routed_request.cpp
+++ b/gateway/routed_request.cpp
@@ -91,8 +91,8 @@
         return;
     }
     limit_ = startedAt_ + intake_.route()->timeout;
-    if (intake_.caller().patience) {
-        limit_ = std::min(limit_, startedAt_ + *intake_.caller().patience);
+    if (intake_.caller().timeout) {
+        limit_ = std::min(limit_, startedAt_ + *intake_.caller().timeout);
     }
     charge();
 }
@@ -104,7 +104,7 @@
         return;
     }
     const double tokens = intake_.chargedTokens();
-    gateway_.fleet().takeTokens(intake_.teamName(), tokens, [self = shared_from_this(), tokens](const TokenDecision &decision) {
+    gateway_.fleet().acquireTokens(intake_.teamName(), tokens, [self = shared_from_this(), tokens](const TokenDecision &decision) {
         if (!decision.isGranted) {
             self->log_.tokensDenied(tokens, decision);
             self->fail({ResultCode::OverRate, "team is over its rate"}, decision.retryAfter);
@@ -112,7 +112,7 @@
         }
         self->charged_ = tokens;
         if (self->phase_ == Phase::Done) {
-            self->gateway_.fleet().giveBackTokens(self->intake_.teamName(), tokens);
+            self->gateway_.fleet().refundTokens(self->intake_.teamName(), tokens);
             return;
         }
         self->admit();
@@ -209,7 +209,7 @@
         gateway_.onTargetLoad(targetId_, *facts.load);
     }
     answerHead_ = std::move(head);
-    isNotExecuted_ = facts.isNotExecuted || facts.isOtherTarget;
+    isNotExecuted_ = facts.isNotExecuted || facts.isTargetMismatch;
     if (isNotExecuted_) {
         notExecuted_ = facts;
         return;
@@ -321,8 +321,8 @@
     --runs_;
     gateway_.targets().onNotExecuted(targetId_, notExecuted_, intake_.caller().model, BootClock::now());
     gateway_.dispatch().invalidateEngines();
-    endDispatch(notExecuted_.isOtherTarget ? DispatchResult::Cancelled : DispatchResult::Declined);
-    log_.declined(targetId_, answerHead_.status, notExecuted_.isOtherTarget);
+    endDispatch(notExecuted_.isTargetMismatch ? DispatchResult::Cancelled : DispatchResult::Declined);
+    log_.declined(targetId_, answerHead_.status, notExecuted_.isTargetMismatch);
     isNotExecuted_ = false;
     tryElsewhere();
 }
@@ -548,7 +548,7 @@
 {
     const RunState state = hasRun_ || isRunning() ? RunState::MayHaveRun : RunState::NotRun;
     if (state == RunState::NotRun && charged_ > 0) {
-        gateway_.fleet().giveBackTokens(intake_.teamName(), charged_);
+        gateway_.fleet().refundTokens(intake_.teamName(), charged_);
     }
     const auto session = std::move(session_);
     lastStatus_ = gateway_.refuse(session.get(), reason, state, retryAfter > Duration::zero() ? retryAfter : usualRetryAfter);
--- a/gateway/target_directory.cpp
+++ b/gateway/target_directory.cpp
@@ -199,7 +199,7 @@
     }
     Correction &correction = corrections_[target->id];
     correction.incarnation = target->incarnation;
-    if (!facts.isOtherTarget) {
+    if (!facts.isTargetMismatch) {
         correction.avoidUntil = now + declinePause;
         return;
     }
--- a/main/gateway_host.cpp
+++ b/main/gateway_host.cpp
@@ -44,7 +44,7 @@
     limits.retries = {settings.retryRatio, settings.retrySlack};
     limits.quotaOver = settings.quotaOver;
     limits.quotaSlack = settings.quotaSlack;
-    limits.drainLimit = settings.shutdownLimit - shutdownMargin;
+    limits.drainLimit = settings.shutdownTimeout - shutdownMargin;
     limits.drainNotice = std::min(limits.drainNotice, limits.drainLimit / 2);
     return limits;
 }
@@ -108,12 +108,12 @@
     {"peers", &isSame<&GatewaySettings::peers>, false},
     {"capacity", &isSame<&GatewaySettings::capacity>, false},
     {"leader_lease", &isSame<&GatewaySettings::leaderLease>, false},
-    {"shortest_lease", &isSame<&GatewaySettings::shortestLease>, false},
+    {"shortest_lease", &isSame<&GatewaySettings::minLeaseTimeToLive>, false},
     {"engines_check_fencing", &isSame<&GatewaySettings::enginesCheckFencing>, false},
     {"key_proof_window", &isSame<&GatewaySettings::keyProofWindow>, true},
     {"configuration_window", &isSame<&GatewaySettings::configurationWindow>, true},
     {"weights_deadline", &isSame<&GatewaySettings::weightsDeadline>, true},
-    {"shutdown_limit", &isSame<&GatewaySettings::shutdownLimit>, true},
+    {"shutdown_limit", &isSame<&GatewaySettings::shutdownTimeout>, true},
     {"retry_ratio", &isSame<&GatewaySettings::retryRatio>, true},
     {"retry_slack", &isSame<&GatewaySettings::retrySlack>, true},
     {"quota_over", &isSame<&GatewaySettings::quotaOver>, true},
@@ -178,7 +178,7 @@
     options.leaderKey = leaderKey;
     options.holder = processName(settings_.hostName);
     options.holderName = settings_.hostName;
-    options.lease.timeToLive = std::max(settings_.leaderLease, settings_.shortestLease);
+    options.lease.timeToLive = std::max(settings_.leaderLease, settings_.minLeaseTimeToLive);
     options.lease.margin = options.lease.timeToLive / leaseParts;
     options.lease.pollInterval = std::chrono::hours(1); // Candidacy says when to look.
     options.lease.retryDelay = std::chrono::milliseconds(700);
--- a/tests/gateway/test_target_directory.cpp
+++ b/tests/gateway/test_target_directory.cpp
@@ -159,7 +159,7 @@
     // further, every request would make that round trip until the store's watch catches up.
     directory.setNamedWeights({"m", 2, start});
     AnswerFacts facts;
-    facts.isOtherTarget = true;
+    facts.isTargetMismatch = true;
     facts.targetId = "e1";
     directory.onNotExecuted("e1|m", facts, "m", start);
     BOOST_TEST(versionOf("e1|m", start) == "2");
@@ -172,7 +172,7 @@
     // A crashed engine's address is given to an engine of another service. Requests sent there would run at the wrong service if
     // that one did not refuse them.
     AnswerFacts facts;
-    facts.isOtherTarget = true;
+    facts.isTargetMismatch = true;
     facts.targetId = "stranger";
     directory.onNotExecuted("e1|m", facts, "m", start);
     BOOST_TEST(!isServing("e1|m", start + 60s));
--- a/tests/platform/test_node_file.cpp
+++ b/tests/platform/test_node_file.cpp
@@ -67,7 +67,7 @@
     const auto settings = parseNodeFile(good, "test.toml", reason);
     BOOST_REQUIRE_MESSAGE(settings.has_value(), reason.text);
     BOOST_TEST(settings->hostName == "front-1");
-    BOOST_TEST((settings->shutdownLimit == 8s));
+    BOOST_TEST((settings->shutdownTimeout == 8s));
     BOOST_TEST((settings->keyProofWindow == 5s));
     BOOST_TEST(settings->peers.port == 7600);
     BOOST_TEST(settings->retryRatio == 0.2);
--- a/tests/platform/test_protocols.cpp
+++ b/tests/platform/test_protocols.cpp
@@ -34,7 +34,7 @@
                                             {"Api-Key", "k"}}),
                                       reason);
     BOOST_REQUIRE(request.has_value());
-    BOOST_TEST((request->patience == 6s));
+    BOOST_TEST((request->timeout == 6s));
     BOOST_TEST((request->promptTokens == 1460U));
     BOOST_TEST(request->outputTokens == 80U);
     BOOST_REQUIRE(request->parts.size() == 2U);
@@ -109,11 +109,11 @@
     BOOST_TEST(!targets.readAnswer(answer).isNotExecuted);
     answer.fields = {{"Lovageloft-Not-Executed", "1"}, {"Lovageloft-Server-Load", "3,1,8"}};
     const AnswerFacts full = targets.readAnswer(answer);
-    BOOST_TEST((full.isNotExecuted && !full.isOtherTarget));
+    BOOST_TEST((full.isNotExecuted && !full.isTargetMismatch));
     BOOST_REQUIRE(full.load.has_value());
     BOOST_TEST(full.load->waiting == 1U);
     answer.status = 421;
-    BOOST_TEST(targets.readAnswer(answer).isOtherTarget);
+    BOOST_TEST(targets.readAnswer(answer).isTargetMismatch);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
