--- a/gateway/cache_store_duty.cpp
+++ b/gateway/cache_store_duty.cpp
@@ -11,13 +11,13 @@
 namespace
 {
 
-/// Between two questions. Short, as each request that fetches from a dead store loses some hundred milliseconds.
-constexpr Duration askPause = std::chrono::milliseconds(700);
+/// Pause between two health checks. Short, because each request that fetches from a dead store loses some hundred milliseconds.
+constexpr Duration pollInterval = std::chrono::milliseconds(700);
 
-/// The store holds a question until something changes; shorter waits are answered at the platform's cost.
-constexpr Duration heldTime = std::chrono::milliseconds(250);
-constexpr Duration answerLimit = std::chrono::milliseconds(600);
-constexpr Duration connectLimit = std::chrono::milliseconds(200);
+/// Timeout of the long poll: the store responds when something changes. Shorter polls would cost the platform more.
+constexpr Duration longPollTimeout = std::chrono::milliseconds(250);
+constexpr Duration responseTimeout = std::chrono::milliseconds(600);
+constexpr Duration connectTimeout = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -45,23 +45,23 @@
         for (const CacheStore &store : stores) {
             gateway_.post([address = store.address, alive = isAlive(store.address)](Gateway &gateway) { gateway.fleet().announceCacheStore(address, alive); });
         }
-        pause(askPause);
+        pause(pollInterval);
     }
 }
 
-/// Any answer will do, also one that says that too many ask.
+/// Whether the store responds. Any response counts, including one that reports too many requests.
 bool CacheStoreDuty::isAlive(const std::string &address)
 {
     auto &connection = connections_[address];
     if (connection == nullptr || !connection->isReusable()) {
         const auto parsed = parseHostAddress(address);
-        connection = parsed ? HttpConnection::open(*parsed, connectLimit) : nullptr;
+        connection = parsed ? HttpConnection::open(*parsed, connectTimeout) : nullptr;
     }
     if (connection == nullptr) {
         return false;
     }
-    const HttpField wait = format_.longPollField(heldTime);
-    return connection->call("GET", format_.cacheEventsPath(), {}, BootClock::now() + answerLimit, {&wait, 1}).has_value();
+    const HttpField longPoll = format_.longPollField(longPollTimeout);
+    return connection->call("GET", format_.cacheEventsPath(), {}, BootClock::now() + responseTimeout, {&longPoll, 1}).has_value();
 }
 
 } // namespace Lovageloft
--- a/gateway/cache_store_duty.h
+++ b/gateway/cache_store_duty.h
@@ -17,14 +17,14 @@
 
 class Gateway;
 
-/// Watches whether the cache stores answer, on the relays of the fleet, which tell the others. The stores are on no list, and engines
-/// that fetch from a dead one wait for it.
+/// Health checks of the cache stores. Runs on the relays of the fleet, which announce the results to the other hosts. The stores have no
+/// entries of their own that would show their state, and engines that fetch from a dead one wait for it.
 class CacheStoreDuty final : public Duty
 {
 public:
     CacheStoreDuty(Gateway &gateway, const RelayedStore &store, const EngineControlFormat &format);
 
-    /// For any thread: the stores of the newest configuration.
+    /// Sets the stores of the newest configuration. Thread-safe.
     void setStores(const std::vector<CacheStore> &stores);
 
 private:
@@ -36,7 +36,7 @@
     const EngineControlFormat &format_;
     std::mutex mutex_;
     std::vector<CacheStore> stores_;
-    std::map<std::string, std::unique_ptr<HttpConnection>> connections_; ///< This thread's own.
+    std::map<std::string, std::unique_ptr<HttpConnection>> connections_; ///< By address; used only by the duty's thread.
 };
 
 } // namespace Lovageloft
--- a/gateway/configuration_duty.cpp
+++ b/gateway/configuration_duty.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// Longest wait of one watch; a returning one costs a call.
-constexpr Duration watchTime = std::chrono::seconds(3);
+/// Timeout of one watch; each watch that returns costs a call.
+constexpr Duration watchTimeout = std::chrono::seconds(3);
 
 } // namespace
 
@@ -26,10 +26,10 @@
 {
     while (!isStopped()) {
         const TimePoint calledAt = BootClock::now();
-        const bool isOk = watchFrom_ == 0 ? readAll() : watchOnce();
-        noteStore(isOk);
-        const bool hasWatch = isOk && watchFrom_ != 0;
-        deafSince_ = hasWatch ? std::nullopt : std::optional(deafSince_.value_or(calledAt));
+        const bool isOk = watchRevision_ == 0 ? readAll() : watchOnce();
+        noteStoreState(isOk);
+        const bool hasWatch = isOk && watchRevision_ != 0;
+        unwatchedSince_ = hasWatch ? std::nullopt : std::optional(unwatchedSince_.value_or(calledAt));
         if (isOk) {
             backoff_.reset();
         } else {
@@ -45,41 +45,41 @@
     if (reply.status != StoreStatus::Ok) {
         return false;
     }
-    watchFrom_ = reply.revision;
-    const auto heard = hearing(BootClock::now(), reply.silence);
+    watchRevision_ = reply.revision;
+    const auto context = readContext(BootClock::now(), reply.silence);
     for (const StoreEntry &entry : reply.entries) {
-        feed_.apply(entry, sentAt, heard);
+        feed_.apply(entry, sentAt, context);
     }
-    hasRead_ = true;
+    hasReadStore_ = true;
     return true;
 }
 
 bool ConfigurationDuty::watchOnce()
 {
     const TimePoint sentAt = BootClock::now();
-    const StoreListReply reply = store_.watch(records_.operatorPrefix(), watchFrom_, watchTime);
+    const StoreListReply reply = store_.watch(records_.operatorPrefix(), watchRevision_, watchTimeout);
     if (reply.status == StoreStatus::NotFound) {
-        watchFrom_ = 0;
+        watchRevision_ = 0;
         return true;
     }
     if (reply.status != StoreStatus::Ok) {
         return false;
     }
-    watchFrom_ = std::max(watchFrom_, reply.revision);
-    const auto heard = hearing(BootClock::now(), reply.silence);
+    watchRevision_ = std::max(watchRevision_, reply.revision);
+    const auto context = readContext(BootClock::now(), reply.silence);
     for (const StoreEntry &entry : reply.entries) {
-        feed_.apply(entry, sentAt - reply.age, heard);
+        feed_.apply(entry, sentAt - reply.age, context);
     }
     return true;
 }
 
-/// What is read after calls that failed, or after a gap in what a watch told, may have been written at any time since.
-ConfigurationFeed::Hearing ConfigurationDuty::hearing(TimePoint now, Duration silence) const
+/// Entries read after failed calls, or after a gap in the watch, may have been written at any time since the failure or gap began.
+ConfigurationFeed::ReadContext ConfigurationDuty::readContext(TimePoint now, Duration silence) const
 {
-    return {!hasRead_, std::max(silence, deafSince_ ? now - *deafSince_ : Duration::zero())};
+    return {!hasReadStore_, std::max(silence, unwatchedSince_ ? now - *unwatchedSince_ : Duration::zero())};
 }
 
-void ConfigurationDuty::noteStore(bool isReachable)
+void ConfigurationDuty::noteStoreState(bool isReachable)
 {
     if (isReachable == isReachable_) {
         return;
--- a/gateway/configuration_duty.h
+++ b/gateway/configuration_duty.h
@@ -10,7 +10,7 @@
 namespace Lovageloft
 {
 
-/// Follows what operators write, by a watch.
+/// Watches the operators' keys and passes each entry to the configuration feed.
 class ConfigurationDuty final : public Duty
 {
 public:
@@ -20,17 +20,17 @@
     void run() override;
     bool readAll();
     bool watchOnce();
-    void noteStore(bool isReachable);
-    ConfigurationFeed::Hearing hearing(TimePoint now, Duration silence) const;
+    void noteStoreState(bool isReachable);
+    ConfigurationFeed::ReadContext readContext(TimePoint now, Duration silence) const;
 
     Store &store_;
     const StoreRecords &records_;
     ConfigurationFeed &feed_;
     Backoff backoff_ = storeBackoff();
-    std::int64_t watchFrom_ = 0;
+    std::int64_t watchRevision_ = 0; ///< Revision from which to watch; 0 to read the whole list first.
     bool isReachable_ = true;
-    bool hasRead_ = false;
-    std::optional<TimePoint> deafSince_; ///< Since when no change would have been heard of.
+    bool hasReadStore_ = false;
+    std::optional<TimePoint> unwatchedSince_; ///< Since when changes may have been missed; not set while a watch works.
 };
 
 } // namespace Lovageloft
--- a/gateway/configuration_feed.cpp
+++ b/gateway/configuration_feed.cpp
@@ -16,13 +16,13 @@
     apply(entry, provenAt, {});
 }
 
-void ConfigurationFeed::apply(const StoreEntry &entry, TimePoint provenAt, const Hearing &hearing)
+void ConfigurationFeed::apply(const StoreEntry &entry, TimePoint provenAt, const ReadContext &context)
 {
     const std::lock_guard lock(mutex_);
     if (entry.key == records_.configurationKey()) {
-        takeConfiguration(entry, provenAt);
+        applyConfiguration(entry, provenAt);
     } else if (records_.isWeightsKey(entry.key) && !entry.isDeleted) {
-        takeWeights(entry, hearing);
+        applyWeights(entry, context);
     }
 }
 
@@ -46,7 +46,7 @@
     return revision_;
 }
 
-void ConfigurationFeed::takeConfiguration(const StoreEntry &entry, TimePoint provenAt)
+void ConfigurationFeed::applyConfiguration(const StoreEntry &entry, TimePoint provenAt)
 {
     if (entry.revision <= revision_) {
         return;
@@ -54,7 +54,7 @@
     Reason reason;
     auto table = entry.isDeleted ? std::nullopt : records_.parseConfiguration(entry, reason);
     if (!table) {
-        // The last good one stays in force, but is not proven any more.
+        // The last valid configuration stays in force, but can no longer be proven to be the newest.
         writeLog(LogLevel::Error, "configuration_unreadable", {{"revision", entry.revision}, {"reason", reason.text}});
         return;
     }
@@ -62,7 +62,7 @@
     listeners_.onConfiguration(std::make_shared<const RoutingTable>(std::move(*table)), provenAt);
 }
 
-void ConfigurationFeed::takeWeights(const StoreEntry &entry, const Hearing &hearing)
+void ConfigurationFeed::applyWeights(const StoreEntry &entry, const ReadContext &context)
 {
     Reason reason;
     auto weights = records_.parseWeights(entry, reason);
@@ -70,11 +70,11 @@
         writeLog(LogLevel::Warning, "weights_unreadable", {{"key", entry.key}, {"reason", reason.text}});
         return;
     }
-    // A waiting watch is answered when the change is made. Counted from when it was sent, up to three seconds earlier, engines that still
-    // have their turn would be left out while they may be used.
+    // A pending watch returns when the change is made. If the publication time were that of the watch request, up to three seconds earlier,
+    // engines that may still be used would be excluded too early.
     weights->publishedAt = BootClock::now();
-    weights->wereFoundAtStartup = hearing.isFirst;
-    weights->silence = hearing.silence;
+    weights->wereFoundAtStartup = context.isFirstRead;
+    weights->silence = context.silence;
     listeners_.onWeights(*weights);
 }
 
--- a/gateway/configuration_feed.h
+++ b/gateway/configuration_feed.h
@@ -12,11 +12,11 @@
 namespace Lovageloft
 {
 
-/// Takes what operators wrote, from whichever duty read it, and passes on what is news. Thread-safe; revisions only rise.
+/// Receives the operators' entries from all duties that read them and passes on the new ones. Thread-safe; revisions never decrease.
 class ConfigurationFeed
 {
 public:
-    /// Hear of news, on the thread of the duty that read it.
+    /// Called on the thread of the duty that read the entry.
     struct Listeners
     {
         std::function<void(const std::shared_ptr<const RoutingTable> &, TimePoint provenAt)> onConfiguration;
@@ -27,29 +27,29 @@
 
     ConfigurationFeed(const StoreRecords &records, Listeners listeners);
 
-    /// How an entry came.
-    struct Hearing
+    /// Circumstances in which an entry was read.
+    struct ReadContext
     {
-        bool isFirst = false; ///< This process has read nothing before.
-        Duration silence{}; ///< For how long before nothing would have been heard of the entry.
+        bool isFirstRead = false; ///< The entry belongs to the first successful read of this process.
+        Duration silence{}; ///< How long before the read a change could not have been noticed.
     };
 
-    /// An entry that the store held at `provenAt`.
-    void apply(const StoreEntry &entry, TimePoint provenAt, const Hearing &hearing);
+    /// Applies an entry that the store held at `provenAt`. Keys other than the configuration and published weights are ignored.
+    void apply(const StoreEntry &entry, TimePoint provenAt, const ReadContext &context);
     void apply(const StoreEntry &entry, TimePoint provenAt);
 
-    /// The configuration in force was the newest at `provenAt`.
+    /// The configuration with this revision was the newest at `provenAt`.
     void confirm(std::int64_t revision, TimePoint provenAt);
 
-    /// The store or another host has a newer configuration than the one in force.
+    /// The store or another host has a configuration with this revision. Calls `onNewerExists` if it is newer than the one applied.
     void noteNewer(std::int64_t revision);
 
-    /// Revision of the newest configuration taken; 0 before the first.
+    /// Revision of the newest configuration applied; 0 before the first.
     std::int64_t revision() const;
 
 private:
-    void takeConfiguration(const StoreEntry &entry, TimePoint provenAt);
-    void takeWeights(const StoreEntry &entry, const Hearing &hearing);
+    void applyConfiguration(const StoreEntry &entry, TimePoint provenAt);
+    void applyWeights(const StoreEntry &entry, const ReadContext &context);
 
     const StoreRecords &records_;
     Listeners listeners_;
--- a/gateway/crash_guard.cpp
+++ b/gateway/crash_guard.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::size_t homeCount = 2;
+constexpr std::size_t homesPerRequest = 2;
 
 } // namespace
 
@@ -46,7 +46,7 @@
         return;
     }
     onReport(host_, report, now);
-    for (const std::string &home : candidates_.winners(fingerprintText(report.request), homeCount)) {
+    for (const std::string &home : candidates_.winners(fingerprintText(report.request), homesPerRequest)) {
         if (home != host_) {
             network_.report(home, report);
         }
--- a/gateway/crash_guard.h
+++ b/gateway/crash_guard.h
@@ -11,15 +11,15 @@
 namespace Lovageloft
 {
 
-/// Shares one host's view of requests that end their targets with the other hosts.
+/// Quarantines requests that crash their targets, across the fleet.
 ///
-/// Each loss goes to two homes of the request, found by rendezvous hashing, so that one of them may be away; a home that has counted enough of
-/// them tells all hosts. A host that missed that reports once more, and is told. The host that saw the losses counts them as well, for when
-/// it reaches no home.
+/// Each crash is reported to two home hosts of the request, chosen by rendezvous hashing, so that one of them may be unreachable. A home that
+/// has counted enough crashes notifies all hosts. A host that missed the notification is notified again when it reports another crash. The
+/// host that saw the crashes also counts them itself, in case it reaches no home.
 class CrashGuard
 {
 public:
-    /// How other hosts and those that start later are told.
+    /// Sends messages to other hosts, and records quarantined requests for hosts that start later.
     struct Network
     {
         std::function<void(const std::string &host, const CrashReport &)> report;
@@ -30,19 +30,21 @@
 
     CrashGuard(std::string host, Network network);
 
-    /// The hosts, with this one, that may be homes.
+    /// The hosts, including this one, that may be homes.
     void setHosts(const std::vector<std::string> &candidates);
 
+    /// A target responded to the request, at least in part: it will not be reported or quarantined.
     void noteAnswered(RequestFingerprint request);
     bool isQuarantined(RequestFingerprint request, TimePoint now) const;
     std::size_t quarantinedCount(TimePoint now) const;
 
-    /// A target was lost that had the request and had not begun to answer it.
+    /// A target that was executing the request was lost before it began to respond.
     void onTargetLost(const CrashReport &report, TimePoint now);
 
+    /// A home counts a crash that a host reported; `from` may be this host.
     void onReport(const std::string &from, const CrashReport &report, TimePoint now);
 
-    /// Another host, or the store, says that the request is in quarantine.
+    /// Another host or the store reports that the request is quarantined.
     void onQuarantined(RequestFingerprint request, TimePoint now);
 
 private:
--- a/gateway/duty.h
+++ b/gateway/duty.h
@@ -9,7 +9,7 @@
 namespace Lovageloft
 {
 
-/// One thread that does one duty until it is stopped.
+/// A background task with its own thread, which runs until it is stopped.
 class Duty
 {
 public:
@@ -20,16 +20,17 @@
 
     void start();
 
-    /// Asks the thread to end; `join` waits for it, for a call to the store at longest.
+    /// Signals the thread to end. `join` waits until it has, at most for the duration of one call to the store.
     void stop();
     void join();
 
 protected:
+    /// Body of the thread. Must return soon after `isStopped` becomes true.
     virtual void run() = 0;
 
     bool isStopped() const;
 
-    /// Sleeps, or less if the duty is stopped.
+    /// Sleeps for the given duration, or until the duty is stopped.
     void pause(Duration duration);
 
 private:
--- a/gateway/engine_control.h
+++ b/gateway/engine_control.h
@@ -11,15 +11,15 @@
 namespace Lovageloft
 {
 
-/// One engine's report of itself as orders need it.
+/// The parts of an engine's status report that orders need.
 struct EngineReport
 {
-    std::int64_t ordersAccepted = 0; ///< Counts up; a restart clears it.
-    bool isBusy = false; ///< An order is being carried out.
+    std::int64_t ordersAccepted = 0; ///< Number of accepted orders since the engine started.
+    bool isBusy = false; ///< An order is being executed.
     std::vector<ServedModel> models;
 };
 
-/// How an engine is asked and ordered. A strategy that writes and reads calls; it sends nothing.
+/// Strategy for the wire format of status reports and orders. It formats and parses calls, but does no I/O.
 class EngineControlFormat
 {
 public:
@@ -30,12 +30,14 @@
 
     virtual std::string orderPath() const = 0;
 
-    /// `precondition`: the order holds only while the engine has accepted that many.
+    /// `precondition`: the engine must reject the order unless it has accepted exactly that many orders before.
     virtual std::string writeOrder(const Order &order, std::string_view holder, std::int64_t precondition) const = 0;
+
+    /// Header field that makes any target but the given one reject the call.
     virtual HttpField expectedTargetField(std::string_view targetId) const = 0;
     virtual OrderOutcome outcomeOf(int status) const = 0;
 
-    /// The newest changes of a cache, and the field by which the answer waits for some.
+    /// Path of a cache store's newest changes, and the header field that makes the response wait for some.
     virtual std::string cacheEventsPath() const = 0;
     virtual HttpField longPollField(Duration time) const = 0;
 };
--- a/gateway/engine_urgency.cpp
+++ b/gateway/engine_urgency.cpp
@@ -8,21 +8,21 @@
 namespace
 {
 
-constexpr int lowest = 9;
-constexpr int ofHighestPriority = 4; ///< Leaves room above for what operators set apart.
+constexpr int leastUrgent = 9;
+constexpr int highestPriorityUrgency = 4; ///< Leaves more urgent values for operators to use.
 
-/// Steps by which a request that comes late is less urgent. Two put it behind the next lower priority that still comes in time; with four,
-/// five in a thousand fewer were served.
-constexpr int lateSteps = 2;
+/// Steps by which a late request is less urgent. Two put it behind requests of the next lower priority that are on time; with four,
+/// five in a thousand fewer requests were served.
+constexpr int latePenalty = 2;
 
 } // namespace
 
-/// Made for an overload of some seconds, when engines are lost while many callers come. Served in the order of arrival, all answers come
-/// late; what is late anyway loses nothing by waiting longer, while its place serves another caller in time. In the heaviest days nine
-/// in a thousand more of the worth was served, with an error of three.
+/// Designed for overloads of some seconds, when engines fail under high load. In order of arrival all responses would be late. A request that
+/// is late anyway loses nothing by waiting longer, and its slot serves another one on time. Under the highest loads this raised the value of
+/// the served requests by nine in a thousand, with an error of three.
 int engineUrgency(int priority, bool isExpectedLate)
 {
-    return std::clamp(ofHighestPriority + priority + (isExpectedLate ? lateSteps : 0), 0, lowest);
+    return std::clamp(highestPriorityUrgency + priority + (isExpectedLate ? latePenalty : 0), 0, leastUrgent);
 }
 
 } // namespace Lovageloft
--- a/gateway/host_duty.cpp
+++ b/gateway/host_duty.cpp
@@ -14,23 +14,23 @@
 namespace
 {
 
-/// A renewal that fails is tried again several times a second for the other half of the lease's life.
-constexpr int renewalsPerLife = 2;
+/// Renewing at half of the time to live leaves the other half for retries, several a second.
+constexpr int renewalsPerTimeToLive = 2;
 
-/// Longest wait of one watch; renewals of the lease come between two of them.
-constexpr Duration watchTime = std::chrono::seconds(2);
+/// Timeout of one watch; the lease is renewed between watches.
+constexpr Duration watchTimeout = std::chrono::seconds(2);
 
-/// A part grows only once fewer hosts have been seen for this long: hosts that start together would otherwise each take the whole.
-constexpr Duration settleTime = std::chrono::seconds(3);
+/// How long a smaller number of hosts must last before the share grows. Hosts that start together would otherwise each take the whole rate.
+constexpr Duration shareIncreaseDelay = std::chrono::seconds(3);
 
-/// Between two watches, so that a herd of restarts is taken in few calls.
-constexpr Duration watchPause = std::chrono::milliseconds(200);
+/// Pause between two watches, so that many simultaneous restarts are read in few calls.
+constexpr Duration watchInterval = std::chrono::milliseconds(200);
 
-/// Of a key that keeps a request in quarantine: the longest lease.
-constexpr Duration quarantineLifetime = std::chrono::minutes(10);
+/// Time to live of the key of a quarantined request: the longest possible lease.
+constexpr Duration quarantineTimeToLive = std::chrono::minutes(10);
 
-/// Requests in quarantine that wait to be written while the store is away.
-constexpr std::size_t mostUnrecorded = 256;
+/// Maximum number of quarantined requests that wait to be written during a store outage.
+constexpr std::size_t maxUnwrittenQuarantines = 256;
 
 } // namespace
 
@@ -47,7 +47,7 @@
     while (!isStopped()) {
         if (step()) {
             backoff_.reset();
-            pause(watchPause);
+            pause(watchInterval);
         } else {
             pause(backoff_.nextDelay());
         }
@@ -59,48 +59,48 @@
 
 bool HostDuty::step()
 {
-    if (leaseId_ == 0 && !takeLease()) {
+    if (leaseId_ == 0 && !acquireLease()) {
         return false;
     }
-    if (!isWritten_ && !writeKey()) {
+    if (!isKeyWritten_ && !writeKey()) {
         return false;
     }
     const TimePoint now = BootClock::now();
     if (now >= nextRenewal_) {
         const StoreLeaseReply reply = store_.keepAlive(leaseId_);
         if (reply.status == StoreStatus::NotFound) {
-            forgetLease();
+            dropLease();
             return true;
         }
         if (reply.status != StoreStatus::Ok) {
             return false;
         }
-        nextRenewal_ = now + options_.leaseTimeToLive / renewalsPerLife;
+        nextRenewal_ = now + options_.leaseTimeToLive / renewalsPerTimeToLive;
     }
     writeQuarantines();
-    return followHosts();
+    return watchStore();
 }
 
 void HostDuty::recordQuarantine(RequestFingerprint request)
 {
     const std::lock_guard lock(mutex_);
-    if (!options_.quarantinePrefix.empty() && unrecorded_.size() < mostUnrecorded) {
-        unrecorded_.push_back(request);
+    if (!options_.quarantinePrefix.empty() && unwrittenQuarantines_.size() < maxUnwrittenQuarantines) {
+        unwrittenQuarantines_.push_back(request);
     }
 }
 
-/// Two homes write each key: that it exists already is as good.
+/// Both home hosts of a request write its key, so a conflict counts as success.
 void HostDuty::writeQuarantines()
 {
     std::vector<RequestFingerprint> requests;
     {
         const std::lock_guard lock(mutex_);
-        requests.swap(unrecorded_);
+        requests.swap(unwrittenQuarantines_);
     }
     if (requests.empty()) {
         return;
     }
-    const StoreLeaseReply lease = store_.grantLease(quarantineLifetime);
+    const StoreLeaseReply lease = store_.grantLease(quarantineTimeToLive);
     for (const RequestFingerprint request : requests) {
         StoreReply reply;
         if (lease.status == StoreStatus::Ok) {
@@ -112,7 +112,7 @@
     }
 }
 
-void HostDuty::takeQuarantine(std::string_view name)
+void HostDuty::applyQuarantine(std::string_view name)
 {
     constexpr int hexadecimal = 16;
     std::uint64_t value = 0;
@@ -122,7 +122,7 @@
     }
 }
 
-bool HostDuty::takeLease()
+bool HostDuty::acquireLease()
 {
     const TimePoint now = BootClock::now();
     const StoreLeaseReply reply = store_.grantLease(options_.leaseTimeToLive);
@@ -130,11 +130,11 @@
         return false;
     }
     leaseId_ = reply.leaseId;
-    nextRenewal_ = now + options_.leaseTimeToLive / renewalsPerLife;
+    nextRenewal_ = now + options_.leaseTimeToLive / renewalsPerTimeToLive;
     return true;
 }
 
-/// Takes the key over from an earlier process of this host, whose lease would otherwise remove it.
+/// Writes the key of this host. A key left by an earlier process of this host is bound to the new lease, as the old lease would remove it.
 bool HostDuty::writeKey()
 {
     const std::string value = hostRecordText(options_.record);
@@ -143,37 +143,37 @@
         reply = store_.compareAndSwap(key_, reply.entry.revision, value, leaseId_);
     }
     if (reply.status == StoreStatus::NotFound) {
-        // After a standstill the watch can tell of the deleted key before a renewal tells of the lapsed lease. No renewal comes before
-        // the key is written: without a new lease the other hosts would never count this one again.
-        forgetLease();
+        // After a stall the watch may report the deleted key before a renewal reports the expired lease. The lease is not renewed before
+        // the key is written, so without a new lease the other hosts would never count this one again.
+        dropLease();
         return false;
     }
-    isWritten_ = reply.status == StoreStatus::Ok;
-    return isWritten_;
+    isKeyWritten_ = reply.status == StoreStatus::Ok;
+    return isKeyWritten_;
 }
 
-void HostDuty::forgetLease()
+void HostDuty::dropLease()
 {
     writeLog(LogLevel::Warning, "host_lease_lapsed", {{"lease", leaseId_}});
     leaseId_ = 0;
-    isWritten_ = false;
+    isKeyWritten_ = false;
 }
 
-bool HostDuty::followHosts()
+bool HostDuty::watchStore()
 {
-    if (watchFrom_ == 0 && !readAll()) {
+    if (watchRevision_ == 0 && !readAll()) {
         return false;
     }
-    const StoreListReply reply = store_.watch(options_.prefix, watchFrom_, watchTime);
+    const StoreListReply reply = store_.watch(options_.prefix, watchRevision_, watchTimeout);
     if (reply.status != StoreStatus::Ok) {
-        watchFrom_ = 0;
+        watchRevision_ = 0;
         return reply.status == StoreStatus::NotFound;
     }
-    watchFrom_ = std::max(watchFrom_, reply.revision);
+    watchRevision_ = std::max(watchRevision_, reply.revision);
     for (const StoreEntry &entry : reply.entries) {
-        take(entry);
+        applyEntry(entry);
     }
-    publish();
+    publishHosts();
     return true;
 }
 
@@ -183,33 +183,33 @@
     if (reply.status != StoreStatus::Ok) {
         return false;
     }
-    watchFrom_ = reply.revision;
+    watchRevision_ = reply.revision;
     hosts_.clear();
     for (const StoreEntry &entry : reply.entries) {
-        take(entry);
+        applyEntry(entry);
     }
-    isWritten_ = hosts_.contains(options_.hostName);
+    isKeyWritten_ = hosts_.contains(options_.hostName);
     const auto isLeader = [this](const StoreEntry &entry) { return entry.key == options_.leaderKey; };
     if (std::none_of(reply.entries.begin(), reply.entries.end(), isLeader)) {
-        takeLeader({options_.leaderKey, {}, 0, true});
+        applyLeader({options_.leaderKey, {}, 0, true});
     }
-    if (!std::exchange(hasRead_, true)) {
-        takeYoungWeights(reply);
+    if (!std::exchange(hasReadStore_, true)) {
+        reportRecentWeights(reply);
     }
-    publish();
+    publishHosts();
     return true;
 }
 
-void HostDuty::take(const StoreEntry &entry)
+void HostDuty::applyEntry(const StoreEntry &entry)
 {
     if (!options_.quarantinePrefix.empty() && entry.key.starts_with(options_.quarantinePrefix)) {
         if (!entry.isDeleted) {
-            takeQuarantine(std::string_view(entry.key).substr(options_.quarantinePrefix.size()));
+            applyQuarantine(std::string_view(entry.key).substr(options_.quarantinePrefix.size()));
         }
         return;
     }
     if (!entry.key.starts_with(options_.hostsPrefix)) {
-        takeLeader(entry);
+        applyLeader(entry);
         return;
     }
     const std::string name = entry.key.substr(options_.hostsPrefix.size());
@@ -220,11 +220,11 @@
         hosts_.insert_or_assign(name, *record);
     }
     if (entry.isDeleted && name == options_.hostName) {
-        isWritten_ = false;
+        isKeyWritten_ = false;
     }
 }
 
-void HostDuty::takeYoungWeights(const StoreListReply &reply)
+void HostDuty::reportRecentWeights(const StoreListReply &reply)
 {
     std::set<std::string> names;
     for (const StoreEntry &entry : reply.entries) {
@@ -235,8 +235,8 @@
     gateway_.post([names = std::move(names)](Gateway &gateway) { gateway.setRecentWeights(names); });
 }
 
-/// The value begins with the holder's name, and that with its host's.
-void HostDuty::takeLeader(const StoreEntry &entry)
+/// Reports the holder of the leader key. Its value starts with the host name, up to the first slash.
+void HostDuty::applyLeader(const StoreEntry &entry)
 {
     if (entry.key != options_.leaderKey) {
         return;
@@ -246,17 +246,17 @@
     gateway_.post([leader](Gateway &gateway) { gateway.setLeader(leader); });
 }
 
-void HostDuty::publish()
+void HostDuty::publishHosts()
 {
     const TimePoint now = BootClock::now();
-    const double even = 1.0 / static_cast<double>(std::max<std::size_t>(hosts_.size(), 1));
-    if (even < share_ || share_ == 0) {
-        // Hosts that start together see each other one after another: until that has settled, one more is reckoned with.
-        share_ = share_ == 0 ? 1.0 / static_cast<double>(hosts_.size() + 1) : even;
-        changedAt_ = now;
-    } else if (even > share_ && now - changedAt_ >= settleTime) {
-        share_ = even;
-        changedAt_ = now;
+    const double evenShare = 1.0 / static_cast<double>(std::max<std::size_t>(hosts_.size(), 1));
+    if (evenShare < share_ || share_ == 0) {
+        // Hosts that start together see each other one by one. The first share is computed for one more host, until the count has settled.
+        share_ = share_ == 0 ? 1.0 / static_cast<double>(hosts_.size() + 1) : evenShare;
+        shareChangedAt_ = now;
+    } else if (evenShare > share_ && now - shareChangedAt_ >= shareIncreaseDelay) {
+        share_ = evenShare;
+        shareChangedAt_ = now;
     }
     options_.onHosts(dutyHosts(capacitiesOf(hosts_)), hosts_.size());
     writeLog(LogLevel::Debug, "hosts_known", {{"hosts", static_cast<std::int64_t>(hosts_.size())}, {"share", share_}});
--- a/gateway/host_duty.h
+++ b/gateway/host_duty.h
@@ -18,51 +18,51 @@
 
 class Gateway;
 
-/// Keeps this host's key in the store under a lease, counts the hosts, and derives from that this host's part of the teams' rates.
+/// Keeps this host's key in the store under a lease, counts the hosts, and derives this host's share of the teams' rate limits.
 ///
-/// The sum of all parts must not pass one while some hosts are cut off. A host counts as long as its lease stands, and stops
-/// serving keyed requests before its lease can lapse: the lease outlives the proof that keyed requests need. So whoever no longer
-/// counts no longer spends.
+/// The shares must not add up to more than one, even while some hosts are partitioned from the store. A host counts while its lease is
+/// valid, and stops serving keyed requests before the lease can expire, because the lease outlives the configuration proof that these
+/// requests need. So a host that is no longer counted consumes none of the rate.
 class HostDuty final : public Duty
 {
 public:
     struct Options
     {
-        std::string prefix; ///< Of all that is watched; ends with a slash.
-        std::string hostsPrefix; ///< Of the hosts' keys, within `prefix`.
-        std::string weightsPrefix; ///< Of the keys of weights that were named lately, within `prefix`.
-        std::string quarantinePrefix = {}; ///< Of the keys of requests in quarantine, within `prefix`; empty: they are neither kept nor read.
+        std::string prefix; ///< Prefix of everything that is watched; ends with a slash.
+        std::string hostsPrefix; ///< Prefix of the hosts' keys, within `prefix`.
+        std::string weightsPrefix; ///< Prefix of the WeightsRecords keys, within `prefix`.
+        std::string quarantinePrefix = {}; ///< Prefix of the keys of quarantined requests, within `prefix`; empty: none are written or read.
         std::string hostName;
-        HostRecord record; ///< What others are told of this host.
-        Duration leaseTimeToLive{}; ///< Of the lease; must be longer than the proof of a key counts.
-        std::string leaderKey; ///< Under `prefix`.
-        /// Called on the duty's thread with the host that holds that key; empty if nobody does.
+        HostRecord record; ///< Value of this host's key.
+        Duration leaseTimeToLive{}; ///< Must be longer than a configuration proof is valid for keyed requests.
+        std::string leaderKey; ///< Key of the leader lease, within `prefix`.
+        /// Called on the duty's thread with the host that holds `leaderKey`; empty if there is none.
         std::function<void(const std::string &host)> onLeader;
-        /// The same with the hosts among which duties for others are given out, and how many hosts count in all.
+        /// Called on the duty's thread with the hosts that may get fleet-wide duties, and the total number of hosts.
         std::function<void(const std::vector<std::string> &candidates, std::size_t hosts)> onHosts;
-        /// The same with a request that is in quarantine.
+        /// Called on the duty's thread with each quarantined request that the store holds.
         std::function<void(RequestFingerprint)> onQuarantined = [](RequestFingerprint) {};
     };
 
     HostDuty(Store &store, Gateway &gateway, Options options);
 
-    /// Keeps a request in quarantine for hosts that start later. From any thread.
+    /// Writes a quarantined request to the store for hosts that start later. Thread-safe.
     void recordQuarantine(RequestFingerprint request);
 
 private:
     void run() override;
     bool step();
-    bool takeLease();
+    bool acquireLease();
     bool writeKey();
-    void forgetLease();
-    bool followHosts();
+    void dropLease();
+    bool watchStore();
     void writeQuarantines();
-    void takeQuarantine(std::string_view name);
+    void applyQuarantine(std::string_view name);
     bool readAll();
-    void take(const StoreEntry &entry);
-    void takeLeader(const StoreEntry &entry);
-    void takeYoungWeights(const StoreListReply &reply);
-    void publish();
+    void applyEntry(const StoreEntry &entry);
+    void applyLeader(const StoreEntry &entry);
+    void reportRecentWeights(const StoreListReply &reply);
+    void publishHosts();
 
     Store &store_;
     Gateway &gateway_;
@@ -70,15 +70,15 @@
     std::string key_;
     Backoff backoff_ = storeBackoff();
     std::int64_t leaseId_ = 0;
-    bool isWritten_ = false;
-    bool hasRead_ = false;
+    bool isKeyWritten_ = false;
+    bool hasReadStore_ = false;
     TimePoint nextRenewal_;
-    std::int64_t watchFrom_ = 0;
+    std::int64_t watchRevision_ = 0;
     std::map<std::string, HostRecord> hosts_;
     double share_ = 0;
-    TimePoint changedAt_; ///< When the hosts were last seen to change.
+    TimePoint shareChangedAt_;
     std::mutex mutex_;
-    std::vector<RequestFingerprint> unrecorded_; ///< Under mutex_.
+    std::vector<RequestFingerprint> unwrittenQuarantines_; ///< Not yet written to the store; guarded by `mutex_`.
 };
 
 } // namespace Lovageloft
--- a/gateway/proof_duty.cpp
+++ b/gateway/proof_duty.cpp
@@ -6,13 +6,13 @@
 namespace
 {
 
-/// A proof that a relay passes on is up to one pause old when it is asked for, and is used for another: both, and a lost datagram, fit
-/// into the window.
+/// Proofs per window. A relayed proof is up to one interval old when requested and is used for another interval. With three intervals both,
+/// and one lost datagram, fit into the window.
 constexpr int proofsPerWindow = 3;
 
-/// How long a configuration of which another host has told only the revision is waited for before the store is asked: the watch brings it,
-/// and all hosts would ask for each change.
-constexpr Duration watchPatience = std::chrono::milliseconds(600);
+/// How long to wait for the watch to deliver a configuration of which another host reported only the revision, before reading it from
+/// the store. Without the wait, all hosts would read the store on each change.
+constexpr Duration watchGracePeriod = std::chrono::milliseconds(600);
 
 } // namespace
 
@@ -57,7 +57,7 @@
     outdatedSince_ = outdatedSince_.value_or(sentAt);
     TimePoint provenAt = sentAt - reply.age;
     if (reply.entry.value.empty()) {
-        if (sentAt - *outdatedSince_ < watchPatience) {
+        if (sentAt - *outdatedSince_ < watchGracePeriod) {
             return false;
         }
         provenAt = now_();
--- a/gateway/proof_duty.h
+++ b/gateway/proof_duty.h
@@ -11,20 +11,20 @@
 namespace Lovageloft
 {
 
-/// Proves again and again that the configuration in force is the newest.
+/// Periodically confirms that the configuration in force is the newest.
 ///
-/// A watch that stays silent proves nothing: while the store drops its history, watches hear nothing for a while though changes are
-/// made, and a host that trusted the silence would serve withdrawn keys. So the newest revision is asked for by its own call.
-/// An age counts from the sending of the call that proved it, on the clock that goes on while the machine is suspended.
+/// A watch without events proves nothing: while the store compacts its history, watches miss changes for a while, and a host that relied on
+/// them would accept revoked keys. So the newest revision is requested by a separate call. The age of a proof counts from the time when
+/// that call was sent, on the clock that continues while the machine is suspended.
 class ProofDuty final : public Duty
 {
 public:
     using Now = std::function<TimePoint()>;
 
-    /// `window`: time within which a change must be in force.
+    /// `window`: time within which a configuration change must be in force.
     ProofDuty(Store &store, const StoreRecords &records, ConfigurationFeed &feed, Duration window, Now now = &BootClock::now);
 
-    /// One attempt, as the duty makes them again and again; false if nothing was learnt.
+    /// Makes one attempt. Returns false if it neither confirmed the configuration nor read a newer one. The duty calls this periodically.
     bool prove();
 
 private:
@@ -35,7 +35,7 @@
     ConfigurationFeed &feed_;
     Duration window_;
     Now now_;
-    std::optional<TimePoint> outdatedSince_; ///< When another host was first found to have a newer configuration.
+    std::optional<TimePoint> outdatedSince_; ///< When a newer configuration was first reported; not set if none is pending.
     Backoff backoff_ = storeBackoff();
 };
 
--- a/gateway/routing_table.cpp
+++ b/gateway/routing_table.cpp
@@ -14,12 +14,12 @@
         total += share.weight;
     }
     constexpr std::uint64_t steps = 1'000'000;
-    double place = total * static_cast<double>(XXH3_64bits(requestId.data(), requestId.size()) % steps) / steps;
+    double point = total * static_cast<double>(XXH3_64bits(requestId.data(), requestId.size()) % steps) / steps;
     for (const TrafficShare &share : route.split) {
-        if (place < share.weight) {
+        if (point < share.weight) {
             return share.service;
         }
-        place -= share.weight;
+        point -= share.weight;
     }
     return route.split.empty() ? std::string() : route.split.back().service;
 }
--- a/gateway/routing_table.h
+++ b/gateway/routing_table.h
@@ -11,19 +11,19 @@
 
 #include "core/clock.h"
 
-/// The operators' configuration as the gateway uses it: which request goes to which service, for which team, within which limits.
+/// The operators' configuration as the gateway uses it: routes, services, teams and limits.
 namespace Lovageloft
 {
 
-/// What may be repeated.
+/// How often a request of a route may be executed.
 enum class RouteKind : std::uint8_t
 {
-    Idempotent, ///< May run any number of times.
-    NonIdempotent, ///< Runs at most once for each attempt of a caller.
-    Stream, ///< An answer in events. Runs at most once unless the route is resumable.
+    Idempotent, ///< May be executed any number of times.
+    NonIdempotent, ///< Executed at most once per attempt of a caller.
+    Stream, ///< The response is a stream of events. Executed at most once unless the route is resumable.
 };
 
-/// A service's part of a route's traffic.
+/// A service's share of a route's traffic, relative to the weights of the route's other services.
 struct TrafficShare
 {
     std::string service;
@@ -34,15 +34,15 @@
 {
     std::string name;
     std::string host;
-    std::string pathPrefix; ///< Begins and ends with a slash.
+    std::string pathPrefix; ///< Starts and ends with a slash.
     RouteKind kind = RouteKind::NonIdempotent;
-    bool isResumable = false; ///< A stream may go on at another target after the last event.
-    bool isPublic = false; ///< Needs no key and counts for no team.
-    Duration timeout{}; ///< Longest time that a caller is kept waiting.
-    Duration latencyTarget{}; ///< Time to the answer, for streams to the first event, that callers are promised.
-    Duration eventGap{}; ///< Longest pause between two events that still counts as on time.
-    int priority = 0; ///< 0 is the most urgent.
-    int maxAttempts = 1; ///< Most targets that one request may run on.
+    bool isResumable = false; ///< A stream may be continued on another target after the last event.
+    bool isPublic = false; ///< Needs no key and is attributed to no team.
+    Duration timeout{}; ///< Maximum time that a caller waits.
+    Duration latencyTarget{}; ///< Promised time to the response; for streams, to the first event.
+    Duration eventGap{}; ///< Maximum time between two events of a stream that is on time.
+    int priority = 0; ///< 0 is the highest.
+    int maxAttempts = 1; ///< Maximum number of targets on which a request may be executed.
     std::vector<TrafficShare> split = {};
 
     bool isIdempotent() const
@@ -51,10 +51,10 @@
     }
 };
 
-/// One of the route's services by their weights; the same for the same request.
+/// Chooses one of the route's services in proportion to their weights. The same request id always gives the same service.
 std::string chooseService(const Route &route, std::string_view requestId);
 
-/// A store that keeps what engines have computed of prompts. It is on no list of targets.
+/// A store of computed prompt prefixes that engines share. It is not a registered target.
 struct CacheStore
 {
     std::string address; ///< "IP:PORT"
@@ -64,10 +64,10 @@
 struct TargetService
 {
     std::string name;
-    std::int64_t cacheTokens = 0; ///< Tokens that one engine's memory holds.
+    std::int64_t cacheTokens = 0; ///< Capacity of one engine's memory in tokens.
 };
 
-/// What callers may send and how long they may take.
+/// Size limits and timeouts of caller connections.
 struct CallerLimits
 {
     std::size_t headBytes = 16'384;
@@ -79,19 +79,19 @@
 struct Team
 {
     std::string name;
-    std::optional<int> priority = std::nullopt; ///< Goes before the route's.
-    bool isIsolated = false; ///< Shares no cache entry with another team.
-    double rate = 0; ///< Tokens a second over all hosts; 0: no limit.
-    double burst = 0; ///< Tokens on top of the rate.
-    double plainTokens = 1; ///< Tokens that a request without token counts is taken for.
+    std::optional<int> priority = std::nullopt; ///< Overrides the route's priority.
+    bool isIsolated = false; ///< Shares no cache entries with other teams.
+    double rate = 0; ///< Tokens per second over all hosts; 0 for no limit.
+    double burst = 0; ///< Burst size in tokens.
+    double plainTokens = 1; ///< Tokens charged for a request without token counts.
 };
 
-/// One version of the configuration, immutable once built.
+/// One version of the configuration. Immutable after construction.
 class RoutingTable
 {
 public:
     std::int64_t version = 0;
-    std::int64_t revision = 0; ///< The store's, of the write that brought it.
+    std::int64_t revision = 0; ///< Store revision of the write.
     std::vector<Route> routes;
     std::vector<TargetService> services;
     std::vector<CacheStore> cacheStores;
@@ -99,17 +99,17 @@
     std::vector<Team> teams;
     std::unordered_map<std::string, std::size_t> teamOfKey; ///< Index into `teams`.
 
-    /// Sorts the routes for `findRoute`. To be called once all are there.
+    /// Builds the index that `findRoute` needs. Must be called after all routes have been added.
     void buildIndex();
 
-    /// The route of `host` with the longest prefix that begins `path`; null if there is none.
+    /// The route of `host` with the longest path prefix that matches `path`, without its query string; null if there is none.
     const Route *findRoute(std::string_view host, std::string_view path) const;
 
-    /// The team that holds a key; null if none does.
+    /// The team of an API key; null if there is none.
     const Team *findTeam(const std::string &key) const;
 
 private:
-    std::map<std::string, std::vector<std::size_t>, std::less<>> routesOfHost_; ///< Longest prefix first.
+    std::map<std::string, std::vector<std::size_t>, std::less<>> routesOfHost_; ///< Indexes into `routes` by host, longest prefix first.
 };
 
 } // namespace Lovageloft
--- a/gateway/table_freshness.cpp
+++ b/gateway/table_freshness.cpp
@@ -21,9 +21,9 @@
 
 bool TableFreshness::noteNewer(std::int64_t revision)
 {
-    const bool isNews = revision > newestRevision_;
+    const bool isNew = revision > newestRevision_;
     newestRevision_ = std::max(newestRevision_, revision);
-    return isNews;
+    return isNew;
 }
 
 void TableFreshness::noteNothingNewer()
@@ -34,9 +34,9 @@
 bool TableFreshness::notePeerTable(const Table &table)
 {
     const bool isLost = table_.revision != 0 && table.version > table_.version && table.revision < table_.revision;
-    const bool isNews = isLost && table.version > versionLost_;
-    versionLost_ = isNews ? table.version : versionLost_;
-    return isNews;
+    const bool isNew = isLost && table.version > lostVersion_;
+    lostVersion_ = isNew ? table.version : lostVersion_;
+    return isNew;
 }
 
 Duration TableFreshness::age(TimePoint now) const
@@ -47,7 +47,7 @@
 bool TableFreshness::isOutdated(TimePoint now, Duration window) const
 {
     const bool isReplaced = newestRevision_ > table_.revision && age(now) >= window;
-    return isReplaced || table_.version < versionLost_;
+    return isReplaced || table_.version < lostVersion_;
 }
 
 } // namespace Lovageloft
--- a/gateway/table_freshness.h
+++ b/gateway/table_freshness.h
@@ -7,44 +7,44 @@
 namespace Lovageloft
 {
 
-/// What this host knows of how new its configuration is.
+/// Tracks how recently this host's configuration was known to be the newest.
 class TableFreshness
 {
 public:
-    /// A configuration by the operators' number and by the position of its write.
+    /// Identifies a configuration by the operators' version number and by the store revision of its write.
     struct Table
     {
         std::int64_t version = 0;
         std::int64_t revision = 0;
     };
 
-    /// The configuration in force, which was the newest at `provenAt`. Proofs only grow younger.
+    /// Sets the configuration in force, which was the newest at `provenAt`. The time of proof never decreases.
     void setTable(const Table &table, TimePoint provenAt);
 
-    /// The configuration with this position was the newest.
+    /// The configuration with this revision was the newest at `provenAt`. Ignored if it is not the one in force.
     void confirm(std::int64_t revision, TimePoint provenAt);
 
-    /// One with this position exists and may not have been read yet; true for news.
+    /// A configuration with this revision exists and may not have been read yet. Returns whether that was unknown.
     bool noteNewer(std::int64_t revision);
 
-    /// The store was read and has nothing newer than what is in force.
+    /// The store has no newer configuration than the one in force.
     void noteNothingNewer();
 
-    /// Another host has this one in force. A later version at an earlier position tells that the store came back from a copy older than what the
-    /// fleet had, and that this host has read it from there; true for news.
+    /// Another host has this configuration in force. A newer version at a lower revision means that the store was restored from a copy older
+    /// than what the fleet had, and that this host read its configuration from that copy. Returns whether such a loss was newly detected.
     bool notePeerTable(const Table &table);
 
-    /// Time since the configuration in force was known to be the newest.
+    /// Time since the configuration in force was last known to be the newest.
     Duration age(TimePoint now) const;
 
-    /// Whether a newer configuration is known to exist and has been in force for longer than `window`, or was lost by the store.
+    /// Whether a newer configuration is known and the last proof is at least `window` old, or the store lost a newer one.
     bool isOutdated(TimePoint now, Duration window) const;
 
 private:
     Table table_;
     TimePoint provenAt_;
     std::int64_t newestRevision_ = 0;
-    std::int64_t versionLost_ = 0; ///< Of a configuration that the store had before it came back from an older copy.
+    std::int64_t lostVersion_ = 0; ///< Newest version that the store lost when it was restored from an older copy; 0 if none.
 };
 
 } // namespace Lovageloft
--- a/gateway/target.h
+++ b/gateway/target.h
@@ -11,7 +11,7 @@
 namespace Lovageloft
 {
 
-/// A model that an engine serves and the version of its weights.
+/// A model that an engine serves, with the version of its weights.
 struct ServedModel
 {
     std::string name;
@@ -28,56 +28,58 @@
     return left.host == right.host && left.port == right.port;
 }
 
-/// One target as it registered itself in the store.
+/// A target as described by its own entry in the store.
 struct Target
 {
     std::string id;
     std::string service;
     HostAddress address;
     std::string dataCentre;
-    std::int64_t slots = 1; ///< Requests that it works on at once.
-    bool isLeaving = false; ///< It announced its shutdown and takes no new work.
-    std::int64_t incarnation = 0; ///< Its start in Unix milliseconds; another one under the same id knows nothing of before.
+    std::int64_t slots = 1; ///< Maximum number of concurrent requests.
+    bool isLeaving = false; ///< It announced its shutdown and accepts no new requests.
+    std::int64_t incarnation = 0; ///< Start time in Unix milliseconds. Another incarnation under the same id has no state of the previous one.
     std::vector<ServedModel> models;
 
     bool operator==(const Target &) const = default;
 };
 
-/// All registered targets by their id.
+/// All registered targets by id.
 using TargetMap = std::map<std::string, Target, std::less<>>;
 
-/// The weights that an operator named for a model.
+/// A weights version that an operator published for a model.
 struct PublishedWeights
 {
     std::string model;
     std::int64_t version = 0;
-    TimePoint publishedAt; ///< When this host heard of them; in TargetDirectory when they were named, as far as is known.
-    bool wereFoundAtStartup = false; ///< It read them when it started: they may have been named long before.
-    Duration silence{}; ///< For how long before it heard the host was cut off or stood still: they may have been named any time in it.
+    TimePoint publishedAt; ///< When this host first saw them; TargetDirectory replaces it by its best estimate of the publication time.
+    bool wereFoundAtStartup = false; ///< This host read them at startup: they may have been published long before.
+    Duration silence{}; ///< How long the host had been cut off or stalled before it saw them: they may have been published at any time in that interval.
 };
 
-/// Whether weights count as named when they were heard of. A shorter silence is within what is left after `olderWeightsGracePeriod`.
+/// Whether `publishedAt` can be taken as the publication time. A silence of up to 500 ms is ignored: it fits into the part of the deadline
+/// that remains after `olderWeightsGracePeriod`.
 inline bool isPublicationTimeKnown(const PublishedWeights &weights)
 {
     constexpr Duration shortSilence = std::chrono::milliseconds(500);
     return !weights.wereFoundAtStartup && weights.silence <= shortSilence;
 }
 
-/// The name of weights in keys of the store.
+/// Name of the weights in store keys: "MODEL/VERSION".
 inline std::string weightsKeyName(const PublishedWeights &weights)
 {
     return weights.model + '/' + std::to_string(weights.version);
 }
 
-/// How long after new weights were named they count as young: what a host that finds them at its start takes for their age if it can't be
-/// told better. Half of the deadline is what a round over all engines takes.
+/// How long weights count as recent after their publication. A host that finds weights at startup assumes this age until another host
+/// reports the actual one. Updating all engines takes about half of the deadline.
 constexpr Duration recentWeightsPeriod(Duration deadline)
 {
     return deadline / 2;
 }
 
-/// How long after new weights were named older ones may be used, given the time by which no request may begin on them. What is sent
-/// last is expected to begin at once; the rest is for waits that can't be foreseen. See PlacementPolicy::firstTokenSafetyFactor for longer ones.
+/// How long after the publication of new weights requests may still be sent to engines with older ones. `deadline` is the time after which
+/// no request may begin on older weights. The last requests sent are expected to begin at once; the remaining 15 % of the deadline covers
+/// unforeseen waits. PlacementPolicy::firstTokenSafetyFactor covers longer expected waits.
 constexpr Duration olderWeightsGracePeriod(Duration deadline)
 {
     constexpr int parts = 17;
--- a/gateway/target_directory.cpp
+++ b/gateway/target_directory.cpp
@@ -10,18 +10,18 @@
 namespace
 {
 
-/// How long a target that declined is left alone. A load of new weights takes about 400 ms and a full queue drains within a
-/// few requests; each request sent in between only comes back.
-constexpr Duration declinePause = std::chrono::milliseconds(400);
+/// How long a target that declined gets no requests. Loading new weights takes about 400 ms and a full queue drains within a few
+/// requests; requests sent earlier would only be declined again.
+constexpr Duration declineBackoff = std::chrono::milliseconds(400);
 
-/// Speed at which engines are assumed to compute prompts until their answers show otherwise; about a mid-size model on one accelerator.
+/// Assumed prefill speed of engines until their responses show the actual one: about that of a mid-size model on one accelerator.
 constexpr double assumedPrefillTokensPerSecond = 90'000;
 
-/// For plain services the same figures describe calls: one counts as plainWorkTokens, of which a target does so many a second and slot.
+/// Assumed speed of targets that run no models. Each of their requests counts as plainWorkTokens.
 constexpr double plainTokensPerSecondAndSlot = 2'000;
 
-/// Part of an engine's memory that keeps prompts; running requests take the rest: two or three prompts of the eight that fit.
-constexpr double cachePart = 0.7;
+/// Fraction of an engine's memory that holds cached prompts. Running requests use the rest: two or three of the eight prompts that fit.
+constexpr double promptCacheFraction = 0.7;
 
 constexpr char nameSeparator = '|';
 
@@ -45,10 +45,10 @@
 void TargetDirectory::setTargets(std::shared_ptr<const TargetMap> targets)
 {
     for (const auto &[id, target] : *targets) {
-        const auto known = targets_->find(id);
+        const auto previous = targets_->find(id);
         const auto correction = corrections_.find(id);
-        if (known != targets_->end() && correction != corrections_.end() && !(known->second.models == target.models)) {
-            correction->second.avoidUntil = {}; // It says that it has loaded.
+        if (previous != targets_->end() && correction != corrections_.end() && !(previous->second.models == target.models)) {
+            correction->second.avoidUntil = {}; // A new entry with other weights means that loading has finished.
         }
     }
     targets_ = std::move(targets);
@@ -69,30 +69,30 @@
     if (weights.version <= newestVersion(weights.model)) {
         return;
     }
-    std::vector<PublishedWeights> &versions = named_[weights.model];
+    std::vector<PublishedWeights> &versions = published_[weights.model];
     versions.push_back(weights);
-    // Counted from when they were heard of, a host that restarts, or that was cut off or stood still while they were named, would go on
-    // sending to engines that were left out of the round for as long again; counted as long past, a fleet that restarts right after new
-    // weights were named would have no engine.
+    // If the deadline ran from the time of reading, a host that restarted, was cut off or stalled during the publication would keep sending
+    // to engines that missed the update beyond the real deadline. If the deadline were assumed to be over, a fleet that restarts right after
+    // a publication would have no engine to use. So an age in between is assumed.
     if (!isPublicationTimeKnown(weights)) {
-        const Duration youth = recentWeightsPeriod(weightsDeadline_);
-        versions.back().publishedAt -= weights.wereFoundAtStartup ? youth : std::min(youth, weights.silence);
+        const Duration assumedAge = recentWeightsPeriod(weightsDeadline_);
+        versions.back().publishedAt -= weights.wereFoundAtStartup ? assumedAge : std::min(assumedAge, weights.silence);
     }
-    // Once a version's deadline has passed, the ones before it tell nothing more.
-    const auto isPast = [&](const PublishedWeights &known) { return weights.publishedAt >= known.publishedAt + weightsDeadline_; };
-    while (versions.size() > 2 && isPast(versions[1])) {
+    // Once the deadline of a version has passed, the versions before it no longer matter.
+    const auto isExpired = [&](const PublishedWeights &version) { return weights.publishedAt >= version.publishedAt + weightsDeadline_; };
+    while (versions.size() > 2 && isExpired(versions[1])) {
         versions.erase(versions.begin());
     }
 }
 
 void TargetDirectory::setRecentWeights(std::set<std::string> names)
 {
-    youngAtStart_ = std::move(names);
+    recentAtStartup_ = std::move(names);
 }
 
 bool TargetDirectory::needsPublicationTime(TimePoint now) const
 {
-    return std::any_of(named_.begin(), named_.end(), [&](const auto &entry) {
+    return std::any_of(published_.begin(), published_.end(), [&](const auto &entry) {
         const PublishedWeights &newest = entry.second.back();
         return !isPublicationTimeKnown(newest) && now < newest.publishedAt + weightsDeadline_;
     });
@@ -101,7 +101,7 @@
 std::vector<PublishedWeights> TargetDirectory::weightsWithKnownTime() const
 {
     std::vector<PublishedWeights> known;
-    for (const auto &[model, versions] : named_) {
+    for (const auto &[model, versions] : published_) {
         std::copy_if(versions.begin(), versions.end(), std::back_inserter(known), isPublicationTimeKnown);
     }
     return known;
@@ -110,42 +110,43 @@
 std::vector<PublishedWeights> TargetDirectory::newestPublished() const
 {
     std::vector<PublishedWeights> newest;
-    std::transform(named_.begin(), named_.end(), std::back_inserter(newest), [](const auto &entry) { return entry.second.back(); });
+    std::transform(published_.begin(), published_.end(), std::back_inserter(newest), [](const auto &entry) { return entry.second.back(); });
     return newest;
 }
 
 bool TargetDirectory::updatePublicationTime(const PublishedWeights &weights)
 {
-    const auto found = named_.find(weights.model);
-    if (found == named_.end()) {
-        return false; // Nothing was read yet; it is asked for again.
+    const auto found = published_.find(weights.model);
+    if (found == published_.end()) {
+        return false; // Nothing has been read from the store yet; the caller asks again later.
     }
     std::vector<PublishedWeights> &versions = found->second;
-    const auto known = std::find_if(versions.begin(), versions.end(), [&](const PublishedWeights &named) { return named.version >= weights.version; });
-    if (known == versions.end()) {
-        return false; // Newer than what the store has told this host; it will.
+    const auto existing =
+        std::find_if(versions.begin(), versions.end(), [&](const PublishedWeights &published) { return published.version >= weights.version; });
+    if (existing == versions.end()) {
+        return false; // Not yet seen in the store; the watch will deliver it.
     }
-    if (known->version > weights.version && versions.back().publishedAt >= known->publishedAt + weightsDeadline_) {
-        return false; // Long followed.
+    if (existing->version > weights.version && versions.back().publishedAt >= existing->publishedAt + weightsDeadline_) {
+        return false; // A newer version has passed its deadline.
     }
-    if (known->version > weights.version) {
-        // Named before this host started and followed by others since: engines that are older still have its deadline.
-        versions.insert(known, weights);
+    if (existing->version > weights.version) {
+        // Published before this host started and superseded since: its deadline still applies to engines with older weights.
+        versions.insert(existing, weights);
         return true;
     }
-    // Nobody hears of weights before they are named: of two hosts that know, the one that heard first is nearer.
-    constexpr Duration sameTime = std::chrono::milliseconds(20);
-    if (isPublicationTimeKnown(*known) && weights.publishedAt > known->publishedAt - sameTime) {
+    // No host sees weights before their publication, so the earlier of two reported times is more accurate.
+    constexpr Duration timestampTolerance = std::chrono::milliseconds(20);
+    if (isPublicationTimeKnown(*existing) && weights.publishedAt > existing->publishedAt - timestampTolerance) {
         return false;
     }
-    *known = weights;
+    *existing = weights;
     return true;
 }
 
 std::optional<TimePoint> TargetDirectory::newestPublishedAt() const
 {
     std::optional<TimePoint> newest;
-    for (const auto &[model, versions] : named_) {
+    for (const auto &[model, versions] : published_) {
         newest = std::max(newest, std::optional(versions.back().publishedAt));
     }
     return newest;
@@ -184,7 +185,7 @@
             version = served.version;
         }
     }
-    if (const Correction *correction = correctionOf(target)) {
+    if (const Correction *correction = findCorrection(target)) {
         const auto corrected = correction->weights.find(model);
         version = corrected != correction->weights.end() ? std::max(version, corrected->second) : version;
     }
@@ -200,7 +201,7 @@
     Correction &correction = corrections_[target->id];
     correction.incarnation = target->incarnation;
     if (!facts.isOtherTarget) {
-        correction.avoidUntil = now + declinePause;
+        correction.avoidUntil = now + declineBackoff;
         return;
     }
     const bool isSameTarget = facts.targetId == target->id;
@@ -208,8 +209,8 @@
         correction.weights[std::string(model)] = newestVersion(model);
         return;
     }
-    correction.isReplaced = !isSameTarget;
-    correction.avoidUntil = now + declinePause;
+    correction.isAddressReused = !isSameTarget;
+    correction.avoidUntil = now + declineBackoff;
 }
 
 void TargetDirectory::avoid(std::string_view targetId, TimePoint until)
@@ -225,7 +226,7 @@
 {
     std::vector<SchedulerEngine> engines;
     for (const auto &[id, target] : *targets_) {
-        SchedulerEngine engine = engineOf(target, now);
+        SchedulerEngine engine = makeEngine(target, now);
         if (target.models.empty()) {
             engine.name = id;
             engine.model = target.service;
@@ -237,7 +238,7 @@
             copy.name = id + nameSeparator + model.name;
             copy.model = target.service + nameSeparator + model.name;
             copy.weightsVersion = std::to_string(weightsVersionOf(target, model.name));
-            copy.firstTokenDeadline = endOfUse(target, model.name);
+            copy.firstTokenDeadline = firstTokenDeadlineFor(target, model.name);
             copy.isServing = copy.isServing && (!copy.firstTokenDeadline || now < *copy.firstTokenDeadline);
             engines.push_back(std::move(copy));
         }
@@ -256,15 +257,15 @@
     for (const auto &[id, correction] : corrections_) {
         consider(correction.avoidUntil);
     }
-    for (const auto &[model, versions] : named_) {
+    for (const auto &[model, versions] : published_) {
         for (const PublishedWeights &weights : versions) {
-            consider(endOfOlder(weights));
+            consider(olderWeightsEnd(weights));
         }
     }
     return next;
 }
 
-const TargetDirectory::Correction *TargetDirectory::correctionOf(const Target &target) const
+const TargetDirectory::Correction *TargetDirectory::findCorrection(const Target &target) const
 {
     const auto found = corrections_.find(target.id);
     return found != corrections_.end() && found->second.incarnation == target.incarnation ? &found->second : nullptr;
@@ -272,44 +273,44 @@
 
 std::int64_t TargetDirectory::newestVersion(std::string_view model) const
 {
-    const auto found = named_.find(model);
-    return found == named_.end() ? 0 : found->second.back().version;
+    const auto found = published_.find(model);
+    return found == published_.end() ? 0 : found->second.back().version;
 }
 
-/// Until when older weights may be used, where these have been named.
-TimePoint TargetDirectory::endOfOlder(const PublishedWeights &named) const
+/// When requests stop being sent to engines with weights older than the given ones.
+TimePoint TargetDirectory::olderWeightsEnd(const PublishedWeights &newer) const
 {
-    const bool isLongNamed = named.wereFoundAtStartup && youngAtStart_ && !youngAtStart_->contains(weightsKeyName(named));
-    return isLongNamed ? TimePoint{} : named.publishedAt + olderWeightsGracePeriod(weightsDeadline_);
+    const bool wasPublishedLongAgo = newer.wereFoundAtStartup && recentAtStartup_ && !recentAtStartup_->contains(weightsKeyName(newer));
+    return wasPublishedLongAgo ? TimePoint{} : newer.publishedAt + olderWeightsGracePeriod(weightsDeadline_);
 }
 
-/// Until when requests may begin on the target's weights; nothing while no newer ones are named.
-std::optional<TimePoint> TargetDirectory::endOfUse(const Target &target, std::string_view model) const
+/// When the target's weights expire because newer ones were published; nothing if there are no newer ones.
+std::optional<TimePoint> TargetDirectory::firstTokenDeadlineFor(const Target &target, std::string_view model) const
 {
     std::optional<TimePoint> end;
-    const auto found = named_.find(model);
-    if (found == named_.end()) {
+    const auto found = published_.find(model);
+    if (found == published_.end()) {
         return end;
     }
     const std::int64_t version = weightsVersionOf(target, model);
-    for (const PublishedWeights &named : found->second) {
-        if (named.version > version) {
-            end = std::min(end.value_or(TimePoint::max()), endOfOlder(named));
+    for (const PublishedWeights &newer : found->second) {
+        if (newer.version > version) {
+            end = std::min(end.value_or(TimePoint::max()), olderWeightsEnd(newer));
         }
     }
     return end;
 }
 
-SchedulerEngine TargetDirectory::engineOf(const Target &target, TimePoint now) const
+SchedulerEngine TargetDirectory::makeEngine(const Target &target, TimePoint now) const
 {
     SchedulerEngine engine;
     engine.incarnation = static_cast<std::uint64_t>(target.incarnation);
     engine.batchLimit = static_cast<std::uint32_t>(target.slots);
     engine.prefillTokensPerSecond = target.models.empty() ? plainTokensPerSecondAndSlot * static_cast<double>(target.slots) : assumedPrefillTokensPerSecond;
     const auto cache = cacheTokens_.find(target.service);
-    engine.cacheTokens = cache != cacheTokens_.end() ? cache->second * cachePart : 0;
-    const Correction *correction = correctionOf(target);
-    const bool isAvoided = correction != nullptr && (correction->isReplaced || now < correction->avoidUntil);
+    engine.cacheTokens = cache != cacheTokens_.end() ? cache->second * promptCacheFraction : 0;
+    const Correction *correction = findCorrection(target);
+    const bool isAvoided = correction != nullptr && (correction->isAddressReused || now < correction->avoidUntil);
     engine.isServing = !target.isLeaving && !isAvoided;
     engine.isRemote = target.dataCentre != dataCentre_;
     return engine;
--- a/gateway/target_directory.h
+++ b/gateway/target_directory.h
@@ -16,88 +16,89 @@
 namespace Lovageloft
 {
 
-/// What this host believes of the targets: their entries in the store, corrected by what their answers have shown since.
-/// Entries lag: an engine has new weights, or an address has a new owner, up to seconds before the list says so.
+/// This host's view of the targets: their entries in the store, corrected by what their responses have shown since.
+/// Entries lag by up to seconds: an engine may already have new weights, or its address a new owner.
 class TargetDirectory
 {
 public:
-    /// `weightsDeadline`: time after new weights were named from which no request may begin on older ones.
+    /// `weightsDeadline`: how long after the publication of new weights requests may begin on older ones.
     explicit TargetDirectory(Duration weightsDeadline);
 
     void setWeightsDeadline(Duration deadline);
 
-    /// Where this host is.
+    /// Data centre of this host. Targets in other data centres count as remote.
     void setDataCentre(std::string dataCentre);
 
     void setTargets(std::shared_ptr<const TargetMap> targets);
     void setPublishedWeights(const PublishedWeights &weights);
 
-    /// The weights that the store still kept as young when this host started, by their names. Others that it found then are older.
+    /// Weights whose WeightsRecords key was in the store when this host started, by `weightsKeyName`. Others found at startup are
+    /// older than `recentWeightsPeriod`.
     void setRecentWeights(std::set<std::string> names);
 
-    /// Whether weights are in force of which this host doesn't know how long ago they were named.
+    /// Whether the deadline of some model's newest weights is still running and their publication time is only estimated.
     bool needsPublicationTime(TimePoint now) const;
 
-    /// Weights whose `publishedAt` is when they were named, as this host heard of them then or was told since.
+    /// Weights whose publication time is known, because this host saw the publication or another host reported its time.
     std::vector<PublishedWeights> weightsWithKnownTime() const;
 
-    /// The newest weights of each model, with `publishedAt` as this host reckons it.
+    /// The newest weights of each model, with the known or estimated publication time.
     std::vector<PublishedWeights> newestPublished() const;
 
-    /// Another host knows when weights were named. True if that is news.
+    /// Applies a publication time that another host reported. Returns whether it changed anything.
     bool updatePublicationTime(const PublishedWeights &weights);
 
-    /// When the weights named last were named, as this host reckons it.
+    /// The latest known or estimated publication time over all models.
     std::optional<TimePoint> newestPublishedAt() const;
 
-    /// Tokens that one engine of each service holds.
+    /// Capacity of one engine's memory in tokens, by service.
     void setCacheTokens(std::map<std::string, double, std::less<>> tokens);
 
     const TargetMap &all() const;
 
-    /// The target behind a name that `engines` gave to the scheduler.
+    /// The target of an engine name from `engines`; null if it is no longer registered.
     const Target *find(std::string_view engineName) const;
 
-    /// The name under which the scheduler keeps the engines that can serve a model of a service; the service alone where its
-    /// targets run no models.
+    /// The scheduler's name for the engines that serve a model of a service: "SERVICE|MODEL", or the service alone if its targets
+    /// run no models.
     std::string schedulerModel(std::string_view service, std::string_view model) const;
 
-    /// The version of a model that the target is believed to run.
+    /// Version of a model's weights that the target probably runs; 0 if unknown.
     std::int64_t weightsVersionOf(const Target &target, std::string_view model) const;
 
-    /// A target declined a request without running it: it is full, loads, or is not what its entry says.
+    /// Handles a target that declined a request without running it: it is full, is loading weights, or differs from its entry.
     void onNotExecuted(std::string_view engineName, const AnswerFacts &facts, std::string_view model, TimePoint now);
 
-    /// Leaves a target alone for a while.
+    /// Excludes a target from scheduling until the given time.
     void avoid(std::string_view targetId, TimePoint until);
 
-    /// The list for the scheduler.
+    /// The engines for the scheduler, one for each pair of target and model.
     std::vector<SchedulerEngine> engines(TimePoint now) const;
 
-    /// When `engines` changes though nothing was heard.
+    /// The next time at which the result of `engines` changes without a call to this class; nothing if there is none.
     std::optional<TimePoint> nextChange(TimePoint now) const;
 
 private:
     struct Correction
     {
-        std::int64_t incarnation = 0; ///< Holds for this one only.
-        bool isReplaced = false; ///< Another target has its address.
+        std::int64_t incarnation = 0; ///< The correction applies to this incarnation only.
+        bool isAddressReused = false; ///< Another target now has its address.
         TimePoint avoidUntil;
-        std::map<std::string, std::int64_t, std::less<>> weights; ///< Newer than in the entry.
+        std::map<std::string, std::int64_t, std::less<>> weights; ///< Newer versions than in the entry, by model.
     };
 
-    const Correction *correctionOf(const Target &target) const;
+    const Correction *findCorrection(const Target &target) const;
     std::int64_t newestVersion(std::string_view model) const;
-    TimePoint endOfOlder(const PublishedWeights &named) const;
-    std::optional<TimePoint> endOfUse(const Target &target, std::string_view model) const;
-    SchedulerEngine engineOf(const Target &target, TimePoint now) const;
+    TimePoint olderWeightsEnd(const PublishedWeights &newer) const;
+    std::optional<TimePoint> firstTokenDeadlineFor(const Target &target, std::string_view model) const;
+    SchedulerEngine makeEngine(const Target &target, TimePoint now) const;
 
     Duration weightsDeadline_;
     std::string dataCentre_;
     std::shared_ptr<const TargetMap> targets_ = std::make_shared<TargetMap>();
     std::set<std::string, std::less<>> modelServices_;
-    std::map<std::string, std::vector<PublishedWeights>, std::less<>> named_; ///< By model, newest last; each version has its own deadline.
-    std::optional<std::set<std::string>> youngAtStart_; ///< Unknown until the store has been read.
+    std::map<std::string, std::vector<PublishedWeights>, std::less<>> published_; ///< By model, oldest first; each version has its own deadline.
+    std::optional<std::set<std::string>> recentAtStartup_; ///< Not set until the store has been read.
     std::map<std::string, Correction, std::less<>> corrections_;
     std::map<std::string, double, std::less<>> cacheTokens_; ///< By service.
 };
--- a/gateway/target_duty.cpp
+++ b/gateway/target_duty.cpp
@@ -11,18 +11,18 @@
 namespace
 {
 
-/// Longest wait of one watch. Entries change seldom; a returning watch costs a call.
-constexpr Duration watchTime = std::chrono::seconds(3);
+/// Timeout of one watch. Entries change rarely, and each watch that returns costs a call.
+constexpr Duration watchTimeout = std::chrono::seconds(3);
 
-/// Pause between two watches: releases and restarts change entries in bursts, and one call then carries many. Far below the seconds
-/// after which a leaving target may get nothing new.
-constexpr Duration watchPause = std::chrono::milliseconds(150);
+/// Pause between two watches. Releases and restarts change entries in bursts, which one call then returns together. Far shorter than the
+/// seconds within which a leaving target must stop getting requests.
+constexpr Duration watchInterval = std::chrono::milliseconds(150);
 
-/// After a store was away for that long, entries may have lapsed though their targets live.
-constexpr Duration lapseTime = std::chrono::seconds(2);
+/// Shortest store outage in which entries of running targets may have expired.
+constexpr Duration minOutageForExpiry = std::chrono::seconds(2);
 
-/// How long targets have to write a lapsed entry again once the store is back, by the platform's word, and one call on top.
-constexpr Duration returnGrace = std::chrono::milliseconds(2'300);
+/// How long expired entries are kept once the store is back: the time that the platform gives targets to write them again, plus one call.
+constexpr Duration reregistrationGrace = std::chrono::milliseconds(2'300);
 
 } // namespace
 
@@ -36,15 +36,15 @@
 void TargetDuty::run()
 {
     while (!isStopped()) {
-        const bool isOk = watchFrom_ == 0 ? readAll() : watchOnce();
-        dropMissing();
+        const bool isOk = watchRevision_ == 0 ? readAll() : watchOnce();
+        removeExpired();
         if (isOk) {
             backoff_.reset();
-            pause(watchPause);
+            pause(watchInterval);
             continue;
         }
-        if (!lostAt_) {
-            lostAt_ = BootClock::now();
+        if (!storeLostAt_) {
+            storeLostAt_ = BootClock::now();
             writeLog(LogLevel::Warning, "store_lost", {{"duty", "targets"}});
         }
         pause(backoff_.nextDelay());
@@ -57,23 +57,23 @@
     if (reply.status != StoreStatus::Ok) {
         return false;
     }
-    watchFrom_ = reply.revision;
+    watchRevision_ = reply.revision;
     TargetMap targets;
     for (const StoreEntry &entry : reply.entries) {
-        take(entry, targets);
+        applyEntry(entry, targets);
     }
     const TimePoint now = BootClock::now();
-    const bool wasAway = isOtherEra(reply.revision) || (lostAt_ && reply.outage.value_or(lapseTime) >= lapseTime);
-    reached_ = reply.revision;
+    const bool mayHaveExpired = isDifferentEra(reply.revision) || (storeLostAt_ && reply.outage.value_or(minOutageForExpiry) >= minOutageForExpiry);
+    lastRevision_ = reply.revision;
     for (const auto &[id, target] : targets_) {
-        if (!targets.contains(id) && wasAway) {
-            missing_.try_emplace(id, now + returnGrace);
+        if (!targets.contains(id) && mayHaveExpired) {
+            missing_.try_emplace(id, now + reregistrationGrace);
             targets.emplace(id, target);
         }
     }
-    if (lostAt_) {
-        writeLog(LogLevel::Info, "store_regained", {{"duty", "targets"}, {"away_ms", toMillis(now - *lostAt_)}});
-        lostAt_.reset();
+    if (storeLostAt_) {
+        writeLog(LogLevel::Info, "store_regained", {{"duty", "targets"}, {"away_ms", toMillis(now - *storeLostAt_)}});
+        storeLostAt_.reset();
     }
     publish(std::move(targets));
     return true;
@@ -81,51 +81,51 @@
 
 bool TargetDuty::watchOnce()
 {
-    const Duration wait = missing_.empty() ? watchTime : watchPause;
-    const StoreListReply reply = store_.watch(records_.targetPrefix(), watchFrom_, wait);
+    const Duration wait = missing_.empty() ? watchTimeout : watchInterval;
+    const StoreListReply reply = store_.watch(records_.targetPrefix(), watchRevision_, wait);
     if (reply.status == StoreStatus::NotFound) {
-        watchFrom_ = 0;
+        watchRevision_ = 0;
         return true;
     }
     if (reply.status != StoreStatus::Ok) {
-        // What happened meanwhile is only known from the whole list.
-        watchFrom_ = 0;
+        // Changes may have been missed: read the whole list again.
+        watchRevision_ = 0;
         return false;
     }
-    watchFrom_ = std::max(watchFrom_, reply.revision);
+    watchRevision_ = std::max(watchRevision_, reply.revision);
     if (reply.entries.empty()) {
         return true;
     }
     TargetMap targets = targets_;
-    const bool wasAway = isOtherEra(reply.revision) || reply.outage.value_or(reply.silence) >= lapseTime;
-    reached_ = watchFrom_;
+    const bool mayHaveExpired = isDifferentEra(reply.revision) || reply.outage.value_or(reply.silence) >= minOutageForExpiry;
+    lastRevision_ = watchRevision_;
     const TimePoint now = BootClock::now();
     for (const StoreEntry &entry : reply.entries) {
-        if (wasAway && entry.isDeleted) {
-            missing_.try_emplace(targetOf(entry), now + returnGrace);
+        if (mayHaveExpired && entry.isDeleted) {
+            missing_.try_emplace(targetId(entry), now + reregistrationGrace);
             continue;
         }
-        missing_.erase(targetOf(entry));
-        take(entry, targets);
+        missing_.erase(targetId(entry));
+        applyEntry(entry, targets);
     }
     publish(std::move(targets));
     return true;
 }
 
-/// Whether the store came back from an older copy since it was last heard of. What that lacks is written again, as after an outage.
-bool TargetDuty::isOtherEra(std::int64_t position) const
+/// Whether the store was restored from an older copy since the last reply. Entries that the copy lacks are written again, as after an outage.
+bool TargetDuty::isDifferentEra(std::int64_t position) const
 {
-    return reached_ != 0 && eraOf(position) != eraOf(reached_);
+    return lastRevision_ != 0 && eraOf(position) != eraOf(lastRevision_);
 }
 
-std::string TargetDuty::targetOf(const StoreEntry &entry) const
+std::string TargetDuty::targetId(const StoreEntry &entry) const
 {
     return entry.key.substr(std::min(records_.targetPrefix().size(), entry.key.size()));
 }
 
-void TargetDuty::take(const StoreEntry &entry, TargetMap &targets) const
+void TargetDuty::applyEntry(const StoreEntry &entry, TargetMap &targets) const
 {
-    const std::string id = targetOf(entry);
+    const std::string id = targetId(entry);
     if (entry.isDeleted) {
         targets.erase(id);
         return;
@@ -137,17 +137,17 @@
         targets.erase(id);
         return;
     }
-    // A store that came back from an older copy tells what was written before.
-    const auto known = targets_.find(id);
-    target->isLeaving = target->isLeaving || (known != targets_.end() && known->second.incarnation == target->incarnation && known->second.isLeaving);
+    // A store restored from an older copy may return an entry from before the target announced its shutdown.
+    const auto previous = targets_.find(id);
+    target->isLeaving = target->isLeaving || (previous != targets_.end() && previous->second.incarnation == target->incarnation && previous->second.isLeaving);
     targets.insert_or_assign(id, std::move(*target));
 }
 
 void TargetDuty::publish(TargetMap &&targets)
 {
     for (const auto &[id, target] : targets) {
-        const auto known = targets_.find(id);
-        if (known == targets_.end() || !(known->second == target)) {
+        const auto previous = targets_.find(id);
+        if (previous == targets_.end() || !(previous->second == target)) {
             writeLog(LogLevel::Info,
                      "target_known",
                      {{"target", id},
@@ -166,18 +166,18 @@
     listener_(std::make_shared<const TargetMap>(targets_));
 }
 
-void TargetDuty::dropMissing()
+void TargetDuty::removeExpired()
 {
     const TimePoint now = BootClock::now();
     TargetMap targets = targets_;
-    const std::size_t dropped = std::erase_if(missing_, [&](const auto &entry) {
+    const std::size_t removed = std::erase_if(missing_, [&](const auto &entry) {
         if (now < entry.second) {
             return false;
         }
         targets.erase(entry.first);
         return true;
     });
-    if (dropped > 0) {
+    if (removed > 0) {
         publish(std::move(targets));
     }
 }
--- a/gateway/target_duty.h
+++ b/gateway/target_duty.h
@@ -14,15 +14,15 @@
 namespace Lovageloft
 {
 
-/// Follows the entries that targets write of themselves.
+/// Watches the store entries of the targets and publishes each new list.
 ///
-/// While the store is away entries may lapse though their targets live. What goes wrong without a grace: the store returns with an
-/// empty list, and every host stops serving though all targets are well. So entries that are missing after an outage stay for a while;
-/// what is missing then is gone.
+/// During a store outage, entries may expire while their targets keep running. Without a grace period, the store would return with an
+/// empty list and every host would stop serving although all targets are healthy. So entries that are missing after an outage are kept
+/// for a grace period, and removed if they have not been written again by then.
 class TargetDuty final : public Duty
 {
 public:
-    /// Hears of each new list, on the duty's thread.
+    /// Called on the duty's thread with each new list.
     using Listener = std::function<void(const std::shared_ptr<const TargetMap> &)>;
 
     TargetDuty(Store &store, const StoreRecords &records, Listener listener);
@@ -31,21 +31,21 @@
     void run() override;
     bool readAll();
     bool watchOnce();
-    bool isOtherEra(std::int64_t position) const;
-    std::string targetOf(const StoreEntry &entry) const;
-    void take(const StoreEntry &entry, TargetMap &targets) const;
+    bool isDifferentEra(std::int64_t position) const;
+    std::string targetId(const StoreEntry &entry) const;
+    void applyEntry(const StoreEntry &entry, TargetMap &targets) const;
     void publish(TargetMap &&targets);
-    void dropMissing();
+    void removeExpired();
 
     Store &store_;
     const StoreRecords &records_;
     Listener listener_;
     Backoff backoff_ = storeBackoff();
     TargetMap targets_;
-    std::map<std::string, TimePoint> missing_; ///< Entries that were not there after an outage, and when each is taken as gone.
-    std::int64_t watchFrom_ = 0;
-    std::int64_t reached_ = 0; ///< Position up to which changes were heard of.
-    std::optional<TimePoint> lostAt_;
+    std::map<std::string, TimePoint> missing_; ///< Targets whose entries were missing after an outage, and when each is removed.
+    std::int64_t watchRevision_ = 0; ///< Revision from which to watch; 0 to read the whole list first.
+    std::int64_t lastRevision_ = 0; ///< Revision up to which changes have been seen; 0 before the first list.
+    std::optional<TimePoint> storeLostAt_;
 };
 
 } // namespace Lovageloft
--- a/gateway/weights_duty.cpp
+++ b/gateway/weights_duty.cpp
@@ -15,19 +15,19 @@
 namespace
 {
 
-/// Wait for one engine's answer. Engines are milliseconds away; a dark one must not hold up the renewal of the lease.
+/// Timeout of one call to an engine. Engines respond within milliseconds; one that does not must not delay the renewal of the lease.
 constexpr Duration callTimeout = std::chrono::milliseconds(250);
 
-constexpr Duration leaderPause = std::chrono::milliseconds(50);
-constexpr Duration followerPause = std::chrono::milliseconds(250);
+constexpr Duration leaderStepInterval = std::chrono::milliseconds(50);
+constexpr Duration followerStepInterval = std::chrono::milliseconds(250);
 
 constexpr int statusOk = 200;
 
-/// Calls to engines that wait at the same time.
-constexpr std::size_t callsAtOnce = 16;
+/// Maximum number of parallel calls to engines.
+constexpr std::size_t maxParallelCalls = 16;
 
-/// Hosts that stand for leader in turn before others do.
-constexpr std::size_t rankedHosts = 8;
+/// Hosts that try to become leader in ranked order before any others do.
+constexpr std::size_t maxRankedHosts = 8;
 
 } // namespace
 
@@ -39,7 +39,7 @@
     , scheduler_(options_.orders)
     , records_(store_, options_.recordsPrefix, recentWeightsPeriod(options_.deadline))
     , candidacy_(Random(std::random_device{}()))
-    , current_(targets_)
+    , currentTargets_(targets_)
 {
 }
 
@@ -47,16 +47,16 @@
 {
     const std::lock_guard lock(mutex_);
     targets_ = std::move(targets);
-    isChanged_ = true;
+    hasChanged_ = true;
 }
 
 void WeightsDuty::setPublishedWeights(const std::vector<PublishedWeights> &weights)
 {
     const std::lock_guard lock(mutex_);
     for (const PublishedWeights &newest : weights) {
-        named_.insert_or_assign(newest.model, newest);
+        published_.insert_or_assign(newest.model, newest);
     }
-    isChanged_ = true;
+    hasChanged_ = true;
 }
 
 void WeightsDuty::onOrderByOther(const std::string &targetId)
@@ -73,9 +73,9 @@
 
 void WeightsDuty::setHosts(const std::vector<std::string> &candidates, std::size_t hosts)
 {
-    const std::vector<std::string> ranked = RendezvousNames(candidates).winners("leader", rankedHosts);
-    const auto place = std::find(ranked.begin(), ranked.end(), options_.holderName);
-    const auto rank = place != ranked.end() ? std::optional(static_cast<std::size_t>(place - ranked.begin())) : std::nullopt;
+    const std::vector<std::string> ranked = RendezvousNames(candidates).winners("leader", maxRankedHosts);
+    const auto position = std::find(ranked.begin(), ranked.end(), options_.holderName);
+    const auto rank = position != ranked.end() ? std::optional(static_cast<std::size_t>(position - ranked.begin())) : std::nullopt;
     const std::lock_guard lock(mutex_);
     candidacy_.setRank(rank, hosts, BootClock::now());
 }
@@ -84,7 +84,7 @@
 {
     while (!isStopped()) {
         step();
-        pause(lease_.isHeld(BootClock::now()) ? leaderPause : followerPause);
+        pause(lease_.isHeld(BootClock::now()) ? leaderStepInterval : followerStepInterval);
     }
     lease_.release(BootClock::now());
     stepLease();
@@ -95,13 +95,13 @@
     {
         const std::lock_guard lock(mutex_);
         if (candidacy_.isDue(BootClock::now())) {
-            hasStood_ = true;
+            hasPolledLease_ = true;
             lease_.pollNow(BootClock::now());
         }
     }
     stepLease();
-    noteLeadership(BootClock::now());
-    updateWanted();
+    logLeadershipChange(BootClock::now());
+    updateDesired();
     const OrderPlan plan = scheduler_.plan(lease_, BootClock::now());
     if (plan.isSuperseded) {
         writeLog(LogLevel::Warning, "leadership_superseded", {{"token", lease_.token()}});
@@ -111,53 +111,53 @@
     for (const std::string &target : plan.loadNotices) {
         options_.beforeLoad(target);
     }
-    callEngines(std::span(plan.orders), &WeightsDuty::send, &WeightsDuty::takeSent);
-    callEngines(std::span(plan.reads), &WeightsDuty::read, &WeightsDuty::takeState);
-    recordNamed();
+    callEngines(std::span(plan.orders), &WeightsDuty::sendOrder, &WeightsDuty::onOrderSent);
+    callEngines(std::span(plan.reads), &WeightsDuty::readState, &WeightsDuty::onStateRead);
+    recordPublished();
 }
 
 void WeightsDuty::stepLease()
 {
-    if (hasStood_) {
+    if (hasPolledLease_) {
         lease_.step(BootClock::now());
     }
 }
 
-void WeightsDuty::recordNamed()
+void WeightsDuty::recordPublished()
 {
-    std::map<std::string, PublishedWeights> named;
+    std::map<std::string, PublishedWeights> published;
     {
         const std::lock_guard lock(mutex_);
-        named = named_;
+        published = published_;
     }
-    for (const auto &[model, weights] : named) {
+    for (const auto &[model, weights] : published) {
         if (lease_.isHeld(BootClock::now())) {
-            records_.keep(weights, BootClock::now());
+            records_.record(weights, BootClock::now());
             lease_.step(BootClock::now());
         }
     }
 }
 
-void WeightsDuty::updateWanted()
+void WeightsDuty::updateDesired()
 {
-    std::map<std::string, PublishedWeights> named;
+    std::map<std::string, PublishedWeights> published;
     {
         const std::lock_guard lock(mutex_);
         for (const std::string &target : std::exchange(orderedByOthers_, {})) {
             scheduler_.onOrderByOther(target, BootClock::now());
         }
-        if (!isChanged_) {
+        if (!hasChanged_) {
             return;
         }
-        isChanged_ = false;
-        current_ = targets_;
-        named = named_;
+        hasChanged_ = false;
+        currentTargets_ = targets_;
+        published = published_;
     }
-    std::vector<DesiredEngine> wanted;
-    for (const auto &[id, target] : *current_) {
+    std::vector<DesiredEngine> desired;
+    for (const auto &[id, target] : *currentTargets_) {
         for (const ServedModel &model : target.models) {
-            const auto version = named.find(model.name);
-            if (target.isLeaving || version == named.end()) {
+            const auto version = published.find(model.name);
+            if (target.isLeaving || version == published.end()) {
                 continue;
             }
             DesiredEngine engine;
@@ -167,31 +167,31 @@
             engine.state.weightsVersion = std::to_string(version->second.version);
             engine.dueAt = version->second.publishedAt + olderWeightsGracePeriod(options_.deadline);
             engine.announced = EngineState{model.name, std::to_string(model.version), {}, {}, false};
-            wanted.push_back(std::move(engine));
+            desired.push_back(std::move(engine));
         }
     }
-    scheduler_.setDesired(wanted, BootClock::now());
+    scheduler_.setDesired(desired, BootClock::now());
 }
 
-/// The lease is renewed between batches, which take no longer than a few calls that nobody answers.
+/// Renews the lease between batches. A batch takes at most a few call timeouts.
 template <typename Item, typename Result>
 void WeightsDuty::callEngines(std::span<const Item> items,
                               Result (WeightsDuty::*call)(const Item &) const,
-                              void (WeightsDuty::*take)(const Item &, const Result &))
+                              void (WeightsDuty::*onResult)(const Item &, const Result &))
 {
     while (!items.empty()) {
-        const std::span<const Item> batch = items.first(std::min(items.size(), callsAtOnce));
+        const std::span<const Item> batch = items.first(std::min(items.size(), maxParallelCalls));
         std::vector<Result> results(batch.size());
         callInParallel(batch.size(), [&](std::size_t i) { results[i] = (this->*call)(batch[i]); });
         for (std::size_t i = 0; i < batch.size(); ++i) {
-            (this->*take)(batch[i], results[i]);
+            (this->*onResult)(batch[i], results[i]);
         }
         lease_.step(BootClock::now());
         items = items.subspan(batch.size());
     }
 }
 
-void WeightsDuty::takeSent(const Order &order, const SentOrder &sent)
+void WeightsDuty::onOrderSent(const Order &order, const SentOrder &sent)
 {
     writeLog(LogLevel::Info,
              "order_given",
@@ -204,17 +204,17 @@
     scheduler_.onOutcome(order, sent.outcome, BootClock::now());
 }
 
-void WeightsDuty::takeState(const std::string &targetId, const std::optional<EngineState> &state)
+void WeightsDuty::onStateRead(const std::string &targetId, const std::optional<EngineState> &state)
 {
     if (state) {
         scheduler_.onState(targetId, *state, BootClock::now());
     }
 }
 
-std::optional<EngineState> WeightsDuty::read(const std::string &targetId) const
+std::optional<EngineState> WeightsDuty::readState(const std::string &targetId) const
 {
-    const auto target = current_->find(targetId);
-    const auto found = target != current_->end() ? report(target->second) : std::nullopt;
+    const auto target = currentTargets_->find(targetId);
+    const auto found = target != currentTargets_->end() ? fetchReport(target->second) : std::nullopt;
     if (!found || found->models.empty()) {
         return std::nullopt;
     }
@@ -225,11 +225,11 @@
     return state;
 }
 
-WeightsDuty::SentOrder WeightsDuty::send(const Order &order) const
+WeightsDuty::SentOrder WeightsDuty::sendOrder(const Order &order) const
 {
     SentOrder sent;
-    const auto target = current_->find(order.target);
-    const auto before = target != current_->end() ? report(target->second) : std::nullopt;
+    const auto target = currentTargets_->find(order.target);
+    const auto before = target != currentTargets_->end() ? fetchReport(target->second) : std::nullopt;
     if (!before) {
         return sent;
     }
@@ -252,7 +252,7 @@
     return sent;
 }
 
-std::optional<EngineReport> WeightsDuty::report(const Target &target) const
+std::optional<EngineReport> WeightsDuty::fetchReport(const Target &target) const
 {
     const auto connection = HttpConnection::open(target.address, callTimeout);
     if (connection == nullptr) {
@@ -263,11 +263,11 @@
     return answer && answer->status == statusOk ? format_.parseReport(answer->body) : std::nullopt;
 }
 
-void WeightsDuty::noteLeadership(TimePoint now)
+void WeightsDuty::logLeadershipChange(TimePoint now)
 {
     const bool isHeld = lease_.isHeld(now);
-    if (isHeld != wasHeld_) {
-        wasHeld_ = isHeld;
+    if (isHeld != wasLeader_) {
+        wasLeader_ = isHeld;
         writeLog(LogLevel::Info, isHeld ? "leadership_taken" : "leadership_lost", {{"token", lease_.token()}});
     }
 }
--- a/gateway/weights_duty.h
+++ b/gateway/weights_duty.h
@@ -19,68 +19,69 @@
 namespace Lovageloft
 {
 
-/// Brings the engines to the weights that operators named, on the one host that holds the lease.
+/// Orders the engines to load the weights that operators published. Runs on the host that holds the leader lease.
 ///
-/// Every order names the engine and the number of orders that it has accepted: an order whose answer was lost may be carried out
-/// seconds later, after a newer one, and would take the engine back; with the number it is refused then.
+/// Each order carries the engine's id and the number of orders that the engine has accepted so far. An order whose response was lost may
+/// be executed seconds later, after a newer one, and would return the engine to older weights. The engine rejects it because the number no
+/// longer matches.
 class WeightsDuty final : public Duty
 {
 public:
     struct Options
     {
         std::string leaderKey;
-        std::string holder; ///< Differs from that of every other process.
-        std::string holderName; ///< The host, as engines are told.
+        std::string holder; ///< Value of the leader key; unique to this process.
+        std::string holderName; ///< Name of this host, as sent to engines.
         LeaseOptions lease;
         bool enginesCheckFencing = true;
         OrderOptions orders;
-        std::string recordsPrefix; ///< Of the keys of weights that were named lately.
-        Duration deadline{}; ///< After weights were named, from when on no engine serves older ones.
-        std::function<void(const std::string &targetId)> beforeLoad; ///< Called some time before an engine is ordered to load, and again right before.
+        std::string recordsPrefix; ///< Key prefix for WeightsRecords.
+        Duration deadline{}; ///< How long after the publication of weights engines may serve older ones.
+        std::function<void(const std::string &targetId)> beforeLoad; ///< Called some time before an engine is ordered to load, and again immediately before.
     };
 
     WeightsDuty(Store &store, const EngineControlFormat &format, Options options);
 
-    /// For any thread.
+    /// This and the following functions are thread-safe.
     void setTargets(std::shared_ptr<const TargetMap> targets);
 
-    /// The newest weights of each model, with `publishedAt` as this host reckons it.
+    /// The newest weights of each model, with the known or estimated publication time.
     void setPublishedWeights(const std::vector<PublishedWeights> &weights);
 
-    /// Another host was heard to order this engine, or to be about to.
+    /// Another host reported that it ordered this engine to load, or is about to.
     void onOrderByOther(const std::string &targetId);
 
-    /// The host that holds the leader's key; empty if nobody does.
+    /// The host that holds the leader key; empty if there is none.
     void setLeader(const std::string &host);
 
-    /// The hosts among which the leader is chosen first, and how many there are in all.
+    /// The hosts that are preferred as leader, and the total number of hosts.
     void setHosts(const std::vector<std::string> &candidates, std::size_t hosts);
 
 private:
     void run() override;
     void step();
     void stepLease();
-    void updateWanted();
-    void recordNamed();
+    void updateDesired();
+    void recordPublished();
 
-    /// What came of sending an order.
+    /// Result of sending an order.
     struct SentOrder
     {
         OrderOutcome outcome = OrderOutcome::Lost;
-        int status = 0; ///< Of the engine's answer; 0 without one.
-        std::int64_t acceptedBefore = -1; ///< Orders that the engine had accepted; -1 if it did not tell.
+        int status = 0; ///< HTTP status of the engine's response; 0 without one.
+        std::int64_t acceptedBefore = -1; ///< Orders that the engine had accepted before; -1 if unknown.
     };
 
-    /// Calls the engine of each item, some at the same time, and takes what came of it.
+    /// Runs `call` for each item, several in parallel, then `onResult` with each result on this thread.
     template <typename Item, typename Result>
-    void callEngines(std::span<const Item> items, Result (WeightsDuty::*call)(const Item &) const, void (WeightsDuty::*take)(const Item &, const Result &));
+    void callEngines(std::span<const Item> items, Result (WeightsDuty::*call)(const Item &) const, void (WeightsDuty::*onResult)(const Item &, const Result &));
 
-    SentOrder send(const Order &order) const;
-    void takeSent(const Order &order, const SentOrder &sent);
-    std::optional<EngineState> read(const std::string &targetId) const;
-    void takeState(const std::string &targetId, const std::optional<EngineState> &state);
-    std::optional<EngineReport> report(const Target &target) const;
-    void noteLeadership(TimePoint now);
+    SentOrder sendOrder(const Order &order) const;
+    void onOrderSent(const Order &order, const SentOrder &sent);
+    std::optional<EngineState> readState(const std::string &targetId) const;
+    void onStateRead(const std::string &targetId, const std::optional<EngineState> &state);
+    std::optional<EngineReport> fetchReport(const Target &target) const;
+    void logLeadershipChange(TimePoint now);
 
     Store &store_;
     const EngineControlFormat &format_;
@@ -90,13 +91,13 @@
     WeightsRecords records_;
     std::mutex mutex_;
     std::shared_ptr<const TargetMap> targets_ = std::make_shared<TargetMap>();
-    std::map<std::string, PublishedWeights> named_; ///< The newest of each model.
-    std::vector<std::string> orderedByOthers_; ///< Heard, not taken yet.
-    bool isChanged_ = false;
+    std::map<std::string, PublishedWeights> published_; ///< The newest version of each model.
+    std::vector<std::string> orderedByOthers_; ///< Not yet passed to `scheduler_`.
+    bool hasChanged_ = false;
     Candidacy candidacy_;
-    std::shared_ptr<const TargetMap> current_; ///< This thread's own view.
-    bool hasStood_ = false; ///< Has looked at the leader's key.
-    bool wasHeld_ = false;
+    std::shared_ptr<const TargetMap> currentTargets_; ///< The targets that the duty's thread works with.
+    bool hasPolledLease_ = false; ///< Whether this process has read the leader key at least once.
+    bool wasLeader_ = false;
 };
 
 } // namespace Lovageloft
--- a/gateway/weights_records.h
+++ b/gateway/weights_records.h
@@ -9,28 +9,28 @@
 namespace Lovageloft
 {
 
-/// Keeps a key in the store for some seconds after weights were named, so that a host that starts can tell young names from old ones.
+/// Keeps a key in the store for some seconds after weights were published, so that a starting host can tell recent weights from old ones.
 ///
-/// What goes wrong without it: all hosts lose power at once, none is left that knows how long ago the weights were named that they find
-/// when they start, and engines with older weights are used beyond the deadline. The store tells no time, but its leases end.
+/// Without it, if all hosts lost power at once, none would know how long ago the weights found at startup were published, and engines with
+/// older weights would be used beyond the deadline. The store provides no timestamps, but its leases expire.
 class WeightsRecords
 {
 public:
-    /// `prefix`: of the keys; `youth`: how long after the naming a key stays.
-    WeightsRecords(Store &store, std::string prefix, Duration youth);
+    /// `prefix`: of the keys; `recentPeriod`: how long after the publication a key stays.
+    WeightsRecords(Store &store, std::string prefix, Duration recentPeriod);
 
-    /// Writes the key of weights that this host heard being named, unless that is done or too late. One or two calls to the store; after a
-    /// failure the next try comes half a second later.
-    void keep(const PublishedWeights &weights, TimePoint now);
+    /// Writes the key of weights unless that is done, too late, or this host found them at startup. Makes up to two calls to the store.
+    /// After a failure, calls within the next half second do nothing.
+    void record(const PublishedWeights &weights, TimePoint now);
 
 private:
-    bool write(const PublishedWeights &weights, Duration left);
+    bool write(const PublishedWeights &weights, Duration remaining);
 
     Store &store_;
     std::string prefix_;
-    Duration youth_;
-    std::set<std::string> kept_;
-    TimePoint nextTry_;
+    Duration recentPeriod_;
+    std::set<std::string> recorded_;
+    TimePoint nextAttempt_;
 };
 
 } // namespace Lovageloft
--- a/tests/gateway/test_crash_guard.cpp
+++ b/tests/gateway/test_crash_guard.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-constexpr RequestFingerprint crasher{4'711};
+constexpr RequestFingerprint crashingRequest{4'711};
 
-/// A fleet whose hosts reach each other in datagrams that may be lost, some of which are away, and which all meet the same request that ends
-/// its target each time.
+/// Simulates hosts that exchange datagrams, which may be lost. Some hosts may be unreachable. All get the same request, which crashes its
+/// target each time.
 class Fleet
 {
 public:
@@ -32,65 +32,65 @@
         }
     }
 
-    /// The host begins anew, with what the store has kept.
+    /// Replaces the host by a new process, which reads the quarantined requests from the store.
     void restart(std::size_t host)
     {
         const std::string name = names_[host];
         guards_[name] = std::make_unique<CrashGuard>(name,
                                                      CrashGuard::Network{[this, name](const std::string &to, const CrashReport &report) {
-                                                                             if (CrashGuard *guard = reach(to)) {
+                                                                             if (CrashGuard *guard = reachableGuard(to)) {
                                                                                  guard->onReport(name, report, now);
                                                                              }
                                                                          },
                                                                          [this](const std::string &to, RequestFingerprint request) {
-                                                                             if (CrashGuard *guard = reach(to)) {
+                                                                             if (CrashGuard *guard = reachableGuard(to)) {
                                                                                  guard->onQuarantined(request, now);
                                                                              }
                                                                          },
                                                                          [this, name](RequestFingerprint request) {
                                                                              for (const std::string &to : names_) {
-                                                                                 CrashGuard *guard = to == name ? nullptr : reach(to);
+                                                                                 CrashGuard *guard = to == name ? nullptr : reachableGuard(to);
                                                                                  if (guard != nullptr) {
                                                                                      guard->onQuarantined(request, now);
                                                                                  }
                                                                              }
                                                                          },
-                                                                         [this](RequestFingerprint request) { kept_.insert(request); }});
+                                                                         [this](RequestFingerprint request) { recorded_.insert(request); }});
         guards_[name]->setHosts(names_);
-        for (const RequestFingerprint request : kept_) {
+        for (const RequestFingerprint request : recorded_) {
             guards_[name]->onQuarantined(request, now);
         }
     }
 
-    void setAway(std::size_t host)
+    void setUnreachable(std::size_t host)
     {
-        away_.insert(names_[host]);
+        unreachable_.insert(names_[host]);
     }
 
-    /// One try of the crasher at any host that is there; whether it was sent to a target.
-    bool meet()
+    /// Sends the crashing request to a random host. Returns whether the host sent it to a target.
+    bool sendCrashingRequest()
     {
         const std::string &name = names_[randomBelow(random_, names_.size())];
         CrashGuard &guard = *guards_[name];
-        if (away_.contains(name) || guard.isQuarantined(crasher, now)) {
+        if (unreachable_.contains(name) || guard.isQuarantined(crashingRequest, now)) {
             return false;
         }
-        guard.onTargetLost({crasher, ++lastTarget_}, now);
+        guard.onTargetLost({crashingRequest, ++lastTarget_}, now);
         return true;
     }
 
-    /// How often the crasher is sent in so many tries.
-    int sendsIn(int tries)
+    /// Returns how many of `tries` attempts were sent to a target.
+    int countSends(int tries)
     {
         int sends = 0;
         for (int i = 0; i < tries; ++i) {
             now += 100ms;
-            sends += meet() ? 1 : 0;
+            sends += sendCrashingRequest() ? 1 : 0;
         }
         return sends;
     }
 
-    std::size_t restartAny()
+    std::size_t restartRandomHost()
     {
         const std::size_t host = randomBelow(random_, names_.size());
         restart(host);
@@ -105,19 +105,19 @@
     TimePoint now{1h};
 
 private:
-    CrashGuard *reach(const std::string &name)
+    CrashGuard *reachableGuard(const std::string &name)
     {
         constexpr std::size_t parts = 1'000;
         const bool isLost = static_cast<double>(randomBelow(random_, parts)) < lossRate_ * parts;
-        return isLost || away_.contains(name) ? nullptr : guards_[name].get();
+        return isLost || unreachable_.contains(name) ? nullptr : guards_[name].get();
     }
 
     Random random_;
     double lossRate_;
     std::vector<std::string> names_;
     std::map<std::string, std::unique_ptr<CrashGuard>> guards_;
-    std::set<std::string> away_;
-    std::set<RequestFingerprint> kept_;
+    std::set<std::string> unreachable_;
+    std::set<RequestFingerprint> recorded_;
     std::uint64_t lastTarget_ = 0;
 };
 
@@ -125,48 +125,48 @@
 
 BOOST_AUTO_TEST_SUITE(CrashGuardTest)
 
-// Guards against a request that comes again at any host of the fleet and ends one target after the other, as no host sees enough of its tries.
-BOOST_DATA_TEST_CASE(aCrashingRequestThatComesAtAnyHostEndsThreeTargets, boost::unit_test::data::make({1, 9, 69, 295}), hosts)
+// Guards against a request that is retried at random hosts and crashes one target after the other, because no host sees enough of the attempts.
+BOOST_DATA_TEST_CASE(aCrashingRequestSentToAnyHostCrashesThreeTargets, boost::unit_test::data::make({1, 9, 69, 295}), hosts)
 {
     Fleet fleet(static_cast<std::size_t>(hosts), 0, 1);
-    BOOST_TEST(fleet.sendsIn(500) == static_cast<int>(CrashQuarantine::maxCrashes));
+    BOOST_TEST(fleet.countSends(500) == static_cast<int>(CrashQuarantine::maxCrashes));
 }
 
-BOOST_AUTO_TEST_CASE(lostDatagramsHostsThatAreAwayAndRestartsCostFewTargetsMore)
+BOOST_AUTO_TEST_CASE(datagramLossUnreachableHostsAndRestartsCostFewExtraTargets)
 {
-    constexpr int mostAfterThird = 3;
+    constexpr int maxExtraCrashes = 3;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         Fleet fleet(9, 0.03, seed);
-        fleet.setAway(seed % 9);
-        for (int round = 0; round < 30 && !fleet.meet(); ++round) {
+        fleet.setUnreachable(seed % 9);
+        for (int round = 0; round < 30 && !fleet.sendCrashingRequest(); ++round) {
         }
         int sends = 1;
         for (int round = 0; round < 40; ++round) {
-            sends += fleet.sendsIn(5);
-            fleet.restartAny();
+            sends += fleet.countSends(5);
+            fleet.restartRandomHost();
         }
-        BOOST_TEST(sends <= static_cast<int>(CrashQuarantine::maxCrashes) + mostAfterThird, "seed " << seed << ": " << sends);
+        BOOST_TEST(sends <= static_cast<int>(CrashQuarantine::maxCrashes) + maxExtraCrashes, "seed " << seed << ": " << sends);
     }
 }
 
-// Guards against hosts that learn of a quarantine late and never: whoever reports once more is told.
-BOOST_AUTO_TEST_CASE(aHostThatMissedTheQuarantineIsToldWhenItReports)
+// Guards against hosts that never learn of a quarantine whose notification they missed: a host that reports another crash is notified.
+BOOST_AUTO_TEST_CASE(aHostThatMissedTheQuarantineIsNotifiedWhenItReports)
 {
-    Fleet fleet(9, 1, 2); // All datagrams are lost: each host counts alone.
-    BOOST_TEST(fleet.sendsIn(2'000) == 9 * static_cast<int>(CrashQuarantine::maxCrashes));
-    std::vector<std::string> told;
+    Fleet fleet(9, 1, 2); // All datagrams are lost, so each host counts alone.
+    BOOST_TEST(fleet.countSends(2'000) == 9 * static_cast<int>(CrashQuarantine::maxCrashes));
+    std::vector<std::string> notified;
     CrashGuard home("home",
                     {[](const std::string &, const CrashReport &) {},
-                     [&](const std::string &host, RequestFingerprint) { told.push_back(host); },
+                     [&](const std::string &host, RequestFingerprint) { notified.push_back(host); },
                      [](RequestFingerprint) {},
                      [](RequestFingerprint) {}});
     for (std::uint64_t target = 1; target <= 4; ++target) {
-        home.onReport("other", {crasher, target}, fleet.now);
+        home.onReport("other", {crashingRequest, target}, fleet.now);
     }
-    BOOST_TEST(told.size() == 1U);
+    BOOST_TEST(notified.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(requestsThatWereAnsweredAreNeitherReportedNorRefused)
+BOOST_AUTO_TEST_CASE(answeredRequestsAreNeitherReportedNorQuarantined)
 {
     int reports = 0;
     CrashGuard guard("a",
@@ -175,11 +175,11 @@
                       [](RequestFingerprint) {},
                       [](RequestFingerprint) {}});
     guard.setHosts({"b", "c"});
-    guard.noteAnswered(crasher);
-    guard.onTargetLost({crasher, 1}, TimePoint{1h});
-    guard.onQuarantined(crasher, TimePoint{1h});
+    guard.noteAnswered(crashingRequest);
+    guard.onTargetLost({crashingRequest, 1}, TimePoint{1h});
+    guard.onQuarantined(crashingRequest, TimePoint{1h});
     BOOST_TEST(reports == 0);
-    BOOST_TEST(!guard.isQuarantined(crasher, TimePoint{1h}));
+    BOOST_TEST(!guard.isQuarantined(crashingRequest, TimePoint{1h}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/gateway/test_duties.cpp
+++ b/tests/gateway/test_duties.cpp
@@ -16,13 +16,13 @@
 namespace
 {
 
-constexpr Duration patience = 6s;
+constexpr Duration waitTimeout = 6s;
 
-/// A store in memory that can be away, and whose watches can be deaf.
-class MoodyStore final : public ForwardingStore
+/// An in-memory store that can be made unavailable.
+class UnreliableStore final : public ForwardingStore
 {
 public:
-    MoodyStore()
+    UnreliableStore()
         : ForwardingStore(memory)
     {
     }
@@ -45,8 +45,8 @@
 
     StoreListReply watch(std::string_view prefix, std::int64_t afterRevision, Duration timeout) override
     {
-        constexpr Duration shortWait = 20ms; // So that a test sees a store that goes away within a watch.
-        return isDown ? StoreListReply{} : memory.watch(prefix, afterRevision, std::min(timeout, shortWait));
+        constexpr Duration maxWait = 20ms; // So that an outage is noticed soon after it begins.
+        return isDown ? StoreListReply{} : memory.watch(prefix, afterRevision, std::min(timeout, maxWait));
     }
 
     void write(const std::string &key, const std::string &value)
@@ -65,7 +65,7 @@
     std::atomic<int> lists = 0;
 };
 
-/// A target's entry is "SERVICE", the configuration is its version.
+/// The value of a target's entry is its service, that of the configuration its version.
 class PlainRecords final : public StoreRecords
 {
 public:
@@ -122,7 +122,7 @@
 
 const PlainRecords records;
 
-/// What a duty told last.
+/// The last value that a duty published.
 template <typename Value>
 class Latest
 {
@@ -138,10 +138,10 @@
     bool waitFor(Condition condition)
     {
         std::unique_lock lock(mutex_);
-        return changed_.wait_for(lock, patience, [&] { return condition(value_); });
+        return changed_.wait_for(lock, waitTimeout, [&] { return condition(value_); });
     }
 
-    /// Whether the condition holds throughout.
+    /// Whether the condition holds for the whole duration.
     template <typename Condition>
     bool holdsFor(Duration duration, Condition condition)
     {
@@ -179,16 +179,16 @@
         };
     }
 
-    MoodyStore store;
+    UnreliableStore store;
     Latest<TargetMap> latest;
     TargetDuty duty{store, records, [this](const std::shared_ptr<const TargetMap> &targets) { latest.set(*targets); }};
 };
 
-/// A store that lists two targets, and whose watches tell of deletions that nobody could have heard of for three seconds.
-class ToldStore final : public ForwardingStore
+/// A store that lists two targets and whose watch events are given by the test. All events come after a silence of three seconds.
+class ScriptedStore final : public ForwardingStore
 {
 public:
-    ToldStore()
+    ScriptedStore()
         : ForwardingStore(memory_)
     {
     }
@@ -202,9 +202,9 @@
 
     StoreListReply watch(std::string_view /*prefix*/, std::int64_t afterRevision, Duration /*timeout*/) override
     {
-        constexpr Duration longestWait = 20ms;
+        constexpr Duration maxWait = 20ms;
         std::unique_lock lock(mutex_);
-        told_.wait_for(lock, longestWait, [this] { return !entries_.empty(); });
+        delivered_.wait_for(lock, maxWait, [this] { return !entries_.empty(); });
         if (isListDue_) {
             return {StoreStatus::NotFound, {}, 0};
         }
@@ -213,16 +213,17 @@
         return reply;
     }
 
-    /// `outage`: for how long the store had answered nobody.
-    void tell(const StoreEntry &entry, Duration outage)
+    /// Makes the next watch return an entry. `outage`: how long the store had been unavailable to all hosts.
+    void deliver(const StoreEntry &entry, Duration outage)
     {
         const std::lock_guard lock(mutex_);
         entries_.push_back(entry);
         outage_ = outage;
-        told_.notify_all();
+        delivered_.notify_all();
     }
 
-    void comeBack(const std::vector<StoreEntry> &entries, std::int64_t position)
+    /// Makes the next watch fail and the next list return these entries.
+    void restore(const std::vector<StoreEntry> &entries, std::int64_t position)
     {
         const std::lock_guard lock(mutex_);
         listed_ = entries;
@@ -233,7 +234,7 @@
 private:
     MemoryStore memory_;
     std::mutex mutex_;
-    std::condition_variable told_;
+    std::condition_variable delivered_;
     std::vector<StoreEntry> listed_{{"t/a", "s", 1, false}, {"t/b", "s", 2, false}};
     std::int64_t position_ = 2;
     bool isListDue_ = false;
@@ -241,20 +242,20 @@
     Duration outage_{};
 };
 
-struct ToldFixture
+struct ScriptedFixture
 {
-    ToldFixture()
+    ScriptedFixture()
     {
         duty.start();
     }
 
-    ~ToldFixture()
+    ~ScriptedFixture()
     {
         duty.stop();
         duty.join();
     }
 
-    ToldStore store;
+    ScriptedStore store;
     Latest<TargetMap> latest;
     TargetDuty duty{store, records, [this](const std::shared_ptr<const TargetMap> &targets) { latest.set(*targets); }};
 };
@@ -274,7 +275,7 @@
         duty.join();
     }
 
-    MoodyStore store;
+    UnreliableStore store;
     Latest<std::int64_t> version;
     Latest<TimePoint> proof;
     ConfigurationFeed feed{records,
@@ -288,7 +289,7 @@
 
 BOOST_AUTO_TEST_SUITE(DutiesTest)
 
-BOOST_FIXTURE_TEST_CASE(targetsAreFollowedAndStrangeEntriesNameNobody, TargetFixture)
+BOOST_FIXTURE_TEST_CASE(targetsAreFollowedAndUnreadableEntriesRemoved, TargetFixture)
 {
     store.write("t/a", "s");
     store.write("t/b", "s");
@@ -299,69 +300,70 @@
     BOOST_TEST(latest.waitFor(names({})));
 }
 
-BOOST_FIXTURE_TEST_CASE(entriesThatLapsedWhileTheStoreWasAwayAreWaitedFor, TargetFixture)
+BOOST_FIXTURE_TEST_CASE(entriesThatExpiredDuringAnOutageAreKeptForAGracePeriod, TargetFixture)
 {
-    // The store is away and forgets the entries, though the targets live and write them again within two seconds of its return. A host
-    // that believed the empty list would refuse all callers meanwhile.
+    // During a store outage the entries expire although the targets are running. The targets write them again within two seconds after the
+    // outage. A host that applied the empty list would reject all callers until then.
     store.write("t/a", "s");
     store.write("t/b", "s");
     BOOST_REQUIRE(latest.waitFor(names({"a", "b"})));
     store.isDown = true;
-    const int before = store.lists;
-    while (store.lists < before + 2) {
-        std::this_thread::yield(); // Until the duty has noticed.
+    const int listsBefore = store.lists;
+    while (store.lists < listsBefore + 2) {
+        std::this_thread::yield(); // Wait until the duty has noticed the outage.
     }
     store.remove("t/a");
     store.remove("t/b");
     store.isDown = false;
     BOOST_TEST(latest.holdsFor(1s, names({"a", "b"})));
     store.write("t/a", "s");
-    BOOST_TEST(latest.waitFor(names({"a"}))); // The other one is gone.
+    BOOST_TEST(latest.waitFor(names({"a"}))); // The other target is removed after the grace period.
 }
 
-BOOST_FIXTURE_TEST_CASE(anEntryThatGoesWhileTheStoreIsThereIsGoneAtOnce, TargetFixture)
+BOOST_FIXTURE_TEST_CASE(anEntryDeletedWhileTheStoreIsAvailableIsRemovedAtOnce, TargetFixture)
 {
     store.write("t/a", "s");
     BOOST_REQUIRE(latest.waitFor(names({"a"})));
-    const TimePoint before = BootClock::now();
+    const TimePoint deletedAt = BootClock::now();
     store.remove("t/a");
     BOOST_TEST(latest.waitFor(names({})));
-    BOOST_TEST((BootClock::now() - before < 1s));
+    BOOST_TEST((BootClock::now() - deletedAt < 1s));
 }
 
-// Guards against targets that get requests beyond the time in which a leaving one may, as the relay that tells of them was deaf for a while.
-BOOST_FIXTURE_TEST_CASE(aTargetThatLeftWhileTheStoreWasThereIsNotWaitedFor, ToldFixture)
+// Guards against sending requests to a target that left too long ago, because the relay that reports changes had missed them for a while.
+BOOST_FIXTURE_TEST_CASE(aTargetDeletedWhileTheStoreIsAvailableGetsNoGracePeriod, ScriptedFixture)
 {
     BOOST_REQUIRE(latest.waitFor(TargetFixture::names({"a", "b"})));
-    const TimePoint before = BootClock::now();
-    store.tell({"t/a", {}, 3, true}, 0ms);
+    const TimePoint deletedAt = BootClock::now();
+    store.deliver({"t/a", {}, 3, true}, 0ms);
     BOOST_TEST(latest.waitFor(TargetFixture::names({"b"})));
-    BOOST_TEST((BootClock::now() - before < 1s));
-    store.tell({"t/b", {}, 3, true}, 3s);
-    BOOST_TEST(latest.holdsFor(1s, TargetFixture::names({"b"}))); // It may have lapsed and be written again.
+    BOOST_TEST((BootClock::now() - deletedAt < 1s));
+    store.deliver({"t/b", {}, 3, true}, 3s);
+    BOOST_TEST(latest.holdsFor(1s, TargetFixture::names({"b"}))); // The entry may have expired and may be written again.
 }
 
-// Guards against engines that vanish, or come back from leaving, when the store comes back from a copy that is some seconds old.
-BOOST_FIXTURE_TEST_CASE(whatAnOlderCopyOfTheStoreLacksIsWaitedForAndWhatLeftStaysSo, ToldFixture)
+// Guards against engines that disappear, or are used again after announcing their shutdown, when the store is restored from a copy that is
+// some seconds old.
+BOOST_FIXTURE_TEST_CASE(aStoreRestoredFromAnOlderCopyKeepsTargetsAndLeavingStates, ScriptedFixture)
 {
     BOOST_REQUIRE(latest.waitFor(TargetFixture::names({"a", "b"})));
-    store.tell({"t/a", "leaving", 3, false}, 0ms);
+    store.deliver({"t/a", "leaving", 3, false}, 0ms);
     const auto isLeaving = [](const TargetMap &targets) { return targets.contains("a") && targets.at("a").isLeaving; };
     BOOST_REQUIRE(latest.waitFor(isLeaving));
-    store.comeBack({{"t/a", "s", positionOf(2, 1), false}}, positionOf(2, 1)); // Before b came and a left.
+    store.restore({{"t/a", "s", positionOf(2, 1), false}}, positionOf(2, 1)); // The copy is from before b registered and a announced its shutdown.
     BOOST_TEST(latest.holdsFor(1s, [&](const TargetMap &targets) { return isLeaving(targets) && targets.contains("b"); }));
-    BOOST_TEST(latest.waitFor(TargetFixture::names({"a"}))); // It was not written again.
+    BOOST_TEST(latest.waitFor(TargetFixture::names({"a"}))); // b was not written again.
 }
 
-BOOST_FIXTURE_TEST_CASE(aChangeThatNoWatchToldOfIsFoundByTheProof, ProofFixture)
+BOOST_FIXTURE_TEST_CASE(aChangeMissedByTheWatchIsFoundByTheProof, ProofFixture)
 {
-    // The store drops its history, and for a while its watches hear nothing though an operator withdraws a key. Nothing here watches at
-    // all: the change must come through the proof alone.
+    // While the store compacts its history, watches miss that an operator revokes a key. This test uses no watch at all: the change must be
+    // found by the proof alone.
     store.write("op/config", "2");
     BOOST_TEST(version.waitFor([](std::int64_t known) { return known == 2; }));
 }
 
-BOOST_FIXTURE_TEST_CASE(withoutTheStoreNothingIsProven, ProofFixture)
+BOOST_FIXTURE_TEST_CASE(nothingIsProvenWithoutTheStore, ProofFixture)
 {
     BOOST_REQUIRE(proof.waitFor([](TimePoint provenAt) { return provenAt != TimePoint{}; }));
     store.isDown = true;
@@ -379,9 +381,9 @@
     BOOST_TEST(version.waitFor([](std::int64_t known) { return known == 3; }));
 }
 
-BOOST_AUTO_TEST_CASE(anOlderConfigurationNeverComesBack)
+BOOST_AUTO_TEST_CASE(anOlderConfigurationIsNeverApplied)
 {
-    // A slow read ends after a faster one brought a newer version. Taken up, it would give a withdrawn key back.
+    // A slow read completes after a faster one delivered a newer version. If it were applied, a revoked key would be valid again.
     std::vector<std::int64_t> versions;
     ConfigurationFeed feed(
         records, {[&](const auto &table, TimePoint) { versions.push_back(table->version); }, [](std::int64_t, TimePoint) {}, [](const PublishedWeights &) {}});
--- a/tests/gateway/test_engine_urgency.cpp
+++ b/tests/gateway/test_engine_urgency.cpp
@@ -6,15 +6,15 @@
 
 BOOST_AUTO_TEST_SUITE(EngineUrgencyTest)
 
-BOOST_AUTO_TEST_CASE(whatComesLateAnywayLetsOthersBeInTime)
+BOOST_AUTO_TEST_CASE(lateRequestsAreLessUrgentThanOnesOnTime)
 {
-    // A quarter of the engines is lost while users come in numbers. In the order of arrival each answer comes a second late: those who
-    // would wait for ten seconds and those who need it now. What can't be in time goes behind what can, also of the next priority.
+    // A quarter of the engines is lost under high load. In order of arrival every response would be a second late, both for callers who accept
+    // ten seconds and for those who need it now. Requests that can't be on time go behind those that can, even of the next lower priority.
     BOOST_TEST(engineUrgency(0, true) > engineUrgency(0, false));
     BOOST_TEST(engineUrgency(0, true) > engineUrgency(1, false));
 }
 
-BOOST_AUTO_TEST_CASE(routesKeepTheirOrder)
+BOOST_AUTO_TEST_CASE(prioritiesKeepTheirOrder)
 {
     for (const bool isExpectedLate : {false, true}) {
         BOOST_TEST(engineUrgency(0, isExpectedLate) < engineUrgency(1, isExpectedLate));
@@ -22,7 +22,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(urgenciesStayWithinWhatEnginesTake)
+BOOST_AUTO_TEST_CASE(urgenciesStayInTheRangeThatEnginesAccept)
 {
     BOOST_TEST(engineUrgency(100, true) == 9);
     BOOST_TEST(engineUrgency(-100, false) == 0);
--- a/tests/gateway/test_key_freshness.cpp
+++ b/tests/gateway/test_key_freshness.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::string_view configurationKeyName = "op/config";
 
-/// A configuration is its number; the number of keys tells nothing here.
+/// Parses configurations of which only the store revision matters.
 class NumberRecords final : public StoreRecords
 {
 public:
@@ -63,8 +63,9 @@
     }
 };
 
-/// Hosts that prove their configuration while operators write new ones, in virtual time. Each call to the store and each message takes
-/// random time, in which operators may write and the caller be paused; the store may be away, and a cut host can't reach it.
+/// Simulates in virtual time hosts that prove their configuration while operators write new ones. Each call to the store and each message
+/// takes a random time, during which operators may write and the caller may be paused. The store may be down, and a host that is cut off
+/// can't reach it.
 class Fleet
 {
 public:
@@ -77,7 +78,7 @@
             hosts_[name] = std::make_unique<Host>(*this, name);
         }
         for (auto &[name, host] : hosts_) {
-            host->relayed.setNetwork({{}, [this, name = name](const std::string &to, const ProofRequest &request) { ask(name, to, request); }});
+            host->relayed.setNetwork({{}, [this, name = name](const std::string &to, const ProofRequest &request) { askRelay(name, to, request); }});
             host->relayed.setHosts(names, names);
         }
     }
@@ -87,29 +88,29 @@
         advance(1'000);
         const std::size_t dice = randomBelow(random_, 12);
         if (dice == 0) {
-            isAway_ = !isAway_;
+            isStoreDown_ = !isStoreDown_;
         } else if (dice == 1) {
-            auto &host = anyHost();
+            auto &host = randomHost();
             host.isCut = !host.isCut;
         } else if (dice == 2) {
             write(randomBelow(random_, 10) == 0 ? "unreadable" : "next");
         } else {
-            Host &host = anyHost();
+            Host &host = randomHost();
             host.duty.prove();
             check(host);
         }
     }
 
-    /// Times that a host took a configuration for the newest that was not.
+    /// Number of times that a host dated a proof after the write of a newer configuration.
     int wrongProofs = 0;
     int proofs = 0;
 
 private:
-    /// The store as one host reaches it.
-    class Door final : public MemoryStore
+    /// The store as seen by one host.
+    class HostStore final : public MemoryStore
     {
     public:
-        Door(Fleet &fleet, const bool &isCut)
+        HostStore(Fleet &fleet, const bool &isCut)
             : MemoryStore([&fleet] { return fleet.now_; })
             , fleet_(fleet)
             , isCut_(isCut)
@@ -119,8 +120,8 @@
         StoreReply get(std::string_view key) override
         {
             fleet_.advance(300);
-            StoreReply reply = isCut_ || fleet_.isAway_ ? StoreReply{} : fleet_.store_.get(key);
-            fleet_.advance(300); // The answer is on its way while operators go on.
+            StoreReply reply = isCut_ || fleet_.isStoreDown_ ? StoreReply{} : fleet_.store_.get(key);
+            fleet_.advance(300); // Operators may write while the response is in flight.
             return reply;
         }
 
@@ -132,18 +133,18 @@
     struct Host
     {
         Host(Fleet &fleet, const std::string &name)
-            : door(fleet, isCut)
-            , relayed(door, name, [&fleet] { return fleet.now_; })
+            : hostStore(fleet, isCut)
+            , relayed(hostStore, name, [&fleet] { return fleet.now_; })
             , feed(fleet.records_,
-                   {[this](const auto &table, TimePoint at) { note(table->revision, at); },
-                    [this](std::int64_t revision, TimePoint at) { note(revision, at); },
+                   {[this](const auto &table, TimePoint at) { recordProof(table->revision, at); },
+                    [this](std::int64_t revision, TimePoint at) { recordProof(revision, at); },
                     {}})
             , duty(relayed, fleet.records_, feed, 2s, [&fleet] { return fleet.now_; })
         {
             feed.apply(fleet.store_.get(configurationKeyName).entry, fleet.now_);
         }
 
-        void note(std::int64_t newest, TimePoint at)
+        void recordProof(std::int64_t newest, TimePoint at)
         {
             if (newest >= revision) {
                 provenAt = newest > revision ? at : std::max(provenAt, at);
@@ -154,13 +155,13 @@
         bool isCut = false;
         std::int64_t revision = 0;
         TimePoint provenAt;
-        Door door;
+        HostStore hostStore;
         RelayedStore relayed;
         ConfigurationFeed feed;
         ProofDuty duty;
     };
 
-    Host &anyHost()
+    Host &randomHost()
     {
         auto found = hosts_.begin();
         std::advance(found, static_cast<std::ptrdiff_t>(randomBelow(random_, hosts_.size())));
@@ -174,18 +175,18 @@
         writes_.emplace_back(now_, store_.compareAndSwap(configurationKeyName, expected, value, 0).entry.revision);
     }
 
-    /// Time goes on by up to so many milliseconds, rarely by seconds, and operators may write meanwhile.
-    void advance(std::size_t most)
+    /// Advances the time by less than `maxMilliseconds`, or rarely by up to 8 s; operators may write afterwards.
+    void advance(std::size_t maxMilliseconds)
     {
-        now_ += std::chrono::milliseconds(randomBelow(random_, randomBelow(random_, 20) == 0 ? 8'000 : most));
+        now_ += std::chrono::milliseconds(randomBelow(random_, randomBelow(random_, 20) == 0 ? 8'000 : maxMilliseconds));
         if (randomBelow(random_, 8) == 0) {
             write("next");
             now_ += 1ms;
         }
     }
 
-    /// A relay's answer. A lost message is one that says nothing, so that nobody waits in real time.
-    void ask(const std::string &from, const std::string &to, const ProofRequest &request)
+    /// Delivers a reply of a relay. A lost message is simulated by a reply without information, so that no host waits in real time.
+    void askRelay(const std::string &from, const std::string &to, const ProofRequest &request)
     {
         advance(100);
         const Host &relay = *hosts_.at(to);
@@ -214,17 +215,17 @@
     NumberRecords records_;
     std::vector<std::pair<TimePoint, std::int64_t>> writes_;
     std::map<std::string, std::unique_ptr<Host>> hosts_;
-    bool isAway_ = false;
+    bool isStoreDown_ = false;
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(KeyFreshnessTest)
 
-BOOST_AUTO_TEST_CASE(noHostTakesAConfigurationForNewerThanItWas)
+BOOST_AUTO_TEST_CASE(noHostDatesAConfigurationProofTooLate)
 {
-    // Keys are withdrawn while hosts are paused, cut off, or get old answers from relays, and while the store is away. A host that dated its
-    // proof by the time of an answer, or by that of a relay's message, would honour a withdrawn key for as long as the answer was late.
+    // Keys are revoked while hosts are paused, cut off or get old replies from relays, and while the store is down. A host that dated its
+    // proof by the arrival of a response or of a relay's message would accept a revoked key for as long as that was delayed.
     int proofs = 0;
     for (std::uint64_t seed = 0; seed < 3'000; ++seed) {
         Fleet fleet(seed);
--- a/tests/gateway/test_routing_table.cpp
+++ b/tests/gateway/test_routing_table.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(RoutingTableTest)
 
-BOOST_AUTO_TEST_CASE(theLongestPrefixOfTheHostWins)
+BOOST_AUTO_TEST_CASE(theLongestPrefixOfTheHostIsChosen)
 {
     RoutingTable table;
     table.routes = {{.name = "all", .host = "a", .pathPrefix = "/"},
@@ -21,10 +21,10 @@
     BOOST_TEST((table.findRoute("c", "/") == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(aQueryNeverChoosesTheRoute)
+BOOST_AUTO_TEST_CASE(theQueryStringNeverSelectsARoute)
 {
-    // A caller appends another route's path as a query. Read as part of the path it would reach a service that its own route
-    // doesn't lead to.
+    // A caller appends another route's path as a query string. If it were matched as part of the path, the request would reach a service
+    // that its own route doesn't lead to.
     RoutingTable table;
     table.routes = {{.name = "r", .host = "a", .pathPrefix = "/p?/"}};
     table.buildIndex();
--- a/tests/gateway/test_table_freshness.cpp
+++ b/tests/gateway/test_table_freshness.cpp
@@ -16,7 +16,7 @@
 
 BOOST_AUTO_TEST_SUITE(TableFreshnessTest)
 
-BOOST_AUTO_TEST_CASE(onlyWordOfANewerOneMakesAnOldProofCount)
+BOOST_AUTO_TEST_CASE(anOldProofMattersOnlyIfANewerConfigurationExists)
 {
     TableFreshness freshness;
     freshness.setTable({1, 10}, start);
@@ -29,7 +29,7 @@
     BOOST_TEST(!freshness.isOutdated(start + 1h, window));
 }
 
-BOOST_AUTO_TEST_CASE(aProofOfTheOneInForceEndsTheWord)
+BOOST_AUTO_TEST_CASE(aProofOfTheCurrentConfigurationClearsTheNewerOne)
 {
     TableFreshness freshness;
     freshness.setTable({1, 10}, start);
@@ -43,19 +43,19 @@
     BOOST_TEST((freshness.age(start + 6s) == 1s));
 }
 
-// Guards against withdrawn keys that work again on a host which starts after the store came back from an older copy.
-BOOST_AUTO_TEST_CASE(aLaterVersionAtAnEarlierPositionWasLostByTheStore)
+// Guards against revoked keys that are valid again on a host that starts after the store was restored from an older copy.
+BOOST_AUTO_TEST_CASE(aNewerVersionAtAnEarlierRevisionWasLostByTheStore)
 {
     TableFreshness freshness;
-    BOOST_TEST(!freshness.notePeerTable({7, positionOf(1, 812)})); // Nothing was read yet.
+    BOOST_TEST(!freshness.notePeerTable({7, positionOf(1, 812)})); // No configuration has been read yet.
     freshness.setTable({5, positionOf(2, 800)}, start);
     BOOST_TEST(!freshness.notePeerTable({4, positionOf(1, 700)})); // That host is behind.
-    BOOST_TEST(!freshness.notePeerTable({6, positionOf(2, 801)})); // A change that is on its way.
+    BOOST_TEST(!freshness.notePeerTable({6, positionOf(2, 801)})); // A change that has not arrived yet.
     BOOST_TEST(!freshness.isOutdated(start, window));
     BOOST_TEST(freshness.notePeerTable({7, positionOf(1, 812)}));
     BOOST_TEST(!freshness.notePeerTable({7, positionOf(1, 812)}));
     BOOST_TEST(freshness.isOutdated(start, window));
-    freshness.confirm(positionOf(2, 800), start + 1s); // The store's copy proves nothing.
+    freshness.confirm(positionOf(2, 800), start + 1s); // A proof from the older copy doesn't count.
     BOOST_TEST(freshness.isOutdated(start + 1s, window));
     freshness.setTable({7, positionOf(2, 802)}, start + 2s);
     BOOST_TEST(!freshness.isOutdated(start + 2s, window));
--- a/tests/gateway/test_target_directory.cpp
+++ b/tests/gateway/test_target_directory.cpp
@@ -60,10 +60,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(TargetDirectoryTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(eachNamedVersionKeepsItsOwnDeadline)
+BOOST_AUTO_TEST_CASE(eachPublishedVersionKeepsItsOwnDeadline)
 {
-    // Operators name new weights every three seconds. If the newest name put the deadline off, an engine that was left out of each
-    // round would go on serving for good, and readers would get figures of weights withdrawn long ago.
+    // Operators publish new weights every three seconds. If each publication postponed the deadline, an engine that misses every update
+    // would serve old weights forever, and callers would get results of weights replaced long ago.
     for (std::int64_t version = 2; version <= 5; ++version) {
         directory.setPublishedWeights({"m", version, start + 3s * (version - 2)});
     }
@@ -76,10 +76,10 @@
     BOOST_TEST((*change > start && *change < start + deadline));
 }
 
-BOOST_AUTO_TEST_CASE(weightsThatAHostFindsAtItsStartMayHaveBeenNamedLongBefore)
+BOOST_AUTO_TEST_CASE(weightsFoundAtStartupMayHaveBeenPublishedLongBefore)
 {
-    // A host restarts a second after new weights were named, and one engine is left out of the round. If the host counted the deadline
-    // from its own start, that engine would be sent requests after it, and readers would get figures of weights that no longer count.
+    // A host restarts a second after new weights were published, and one engine misses the update. If the deadline ran from the start of the
+    // host, it would send requests to that engine after the real deadline, and callers would get results of outdated weights.
     directory.setPublishedWeights({"m", 2, start + 1s, true});
     BOOST_TEST(isServing("e1|m", start + 2s));
     BOOST_TEST(!isServing("e1|m", start + 7s));
@@ -90,10 +90,10 @@
     BOOST_TEST(!isServing("e1|m", start + 27s));
 }
 
-BOOST_AUTO_TEST_CASE(aHostThatStartsIsToldHowLongAgoWeightsWereNamed)
+BOOST_AUTO_TEST_CASE(aStartingHostLearnsFromOthersWhenWeightsWerePublished)
 {
-    // Hosts are restarted in turn while new weights are brought in. One that starts six seconds after they were named and guesses that it
-    // was four goes on sending to engines with older weights after the deadline; readers get figures of weights that no longer count.
+    // Hosts are restarted one by one while new weights are rolled out. A host that starts six seconds after the publication and assumes four
+    // seconds would send to engines with older weights after the deadline, and callers would get results of outdated weights.
     directory.setPublishedWeights({"m", 2, start + 6s, true});
     BOOST_TEST(directory.needsPublicationTime(start + 6s));
     BOOST_TEST(directory.weightsWithKnownTime().empty());
@@ -105,10 +105,10 @@
     BOOST_TEST(!directory.updatePublicationTime({"m", 2, start + 5s}));
 }
 
-BOOST_AUTO_TEST_CASE(aFleetThatRestartsRightAfterWeightsWereNamedUsesTheOlderOnes)
+BOOST_AUTO_TEST_CASE(aFleetThatRestartsRightAfterAPublicationUsesOlderWeights)
 {
-    // All hosts restart a second after new weights were named, before an engine has them. Taken for long named, they would leave callers
-    // without any engine for seconds. The key that the leader left in the store tells that they are young.
+    // All hosts restart a second after new weights were published, before any engine has loaded them. If they were assumed to be old, no
+    // engine could be used for seconds. The key that the leader wrote to the store shows that they are recent.
     directory.setPublishedWeights({"m", 2, start, true});
     directory.setRecentWeights({"m/2"});
     BOOST_TEST(isServing("e1|m", start + 2s));
@@ -117,10 +117,10 @@
     BOOST_TEST(isServing("e1|m", start + 12s));
 }
 
-BOOST_AUTO_TEST_CASE(aHostThatStartsIsToldOfWeightsThatOthersHaveFollowed)
+BOOST_AUTO_TEST_CASE(aStartingHostLearnsOfSupersededWeights)
 {
-    // Two versions were named before a host started, and the store shows the newer one only. An engine left out of both rounds has the
-    // deadline of the first.
+    // Two versions were published before a host started, and the store holds only the newer one. The deadline of the first applies to an
+    // engine that missed both updates.
     directory.setPublishedWeights({"m", 3, start + 6s, true});
     BOOST_TEST(directory.updatePublicationTime({"m", 3, start + 5s}));
     BOOST_TEST(isServing("e1|m", start + 7s));
@@ -130,19 +130,20 @@
     BOOST_TEST(!directory.updatePublicationTime({"other", 1, start}));
 }
 
-BOOST_AUTO_TEST_CASE(ofTwoHostsThatKnowTheOneThatHeardFirstIsNearer)
+BOOST_AUTO_TEST_CASE(theEarliestReportedPublicationTimeWins)
 {
-    // A host's cut heals while it waits for the store: nothing shows that it heard three seconds late, and it believes that it knows.
+    // A host is cut off while it waits for the store and reconnects before the call ends. It sees the weights three seconds late without
+    // noticing, and takes that time as the publication time.
     directory.setPublishedWeights({"m", 2, start + 3s});
     BOOST_TEST(!directory.updatePublicationTime({"m", 2, start + 4s}));
     BOOST_TEST(directory.updatePublicationTime({"m", 2, start}));
     BOOST_TEST(!isServing("e1|m", start + 7s));
-    BOOST_TEST(!directory.updatePublicationTime({"m", 2, start - 1ms})); // Datagrams take as long.
+    BOOST_TEST(!directory.updatePublicationTime({"m", 2, start - 1ms})); // Within the delay of datagrams.
 }
 
-BOOST_AUTO_TEST_CASE(aHostThatHeardLateAsksAndDoesNotTell)
+BOOST_AUTO_TEST_CASE(aHostThatObservedLateAsksOthersAndReportsNothing)
 {
-    // It stood still for three seconds. What it makes of that is a guess, which must not be spread as knowledge.
+    // The host stalled for three seconds. Its publication time is an estimate, which must not be reported to other hosts as known.
     directory.setPublishedWeights({"m", 2, start + 3s, false, 3s});
     BOOST_TEST(directory.needsPublicationTime(start + 3s));
     BOOST_TEST(directory.weightsWithKnownTime().empty());
@@ -153,10 +154,10 @@
     BOOST_TEST((directory.newestPublished().at(0).publishedAt == start + 2s));
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatRefusesTheExpectedWeightsHasTheNewest)
+BOOST_AUTO_TEST_CASE(anEngineThatRejectsTheExpectedWeightsHasTheNewest)
 {
-    // An engine has loaded before its entry says so, and refuses each request that expects the old weights. Were the entry believed
-    // further, every request would make that round trip until the store's watch catches up.
+    // An engine has loaded new weights before its entry is updated, and rejects each request that expects the old ones. If the entry were
+    // still trusted, every request would make a wasted round trip until the watch delivers the new entry.
     directory.setPublishedWeights({"m", 2, start});
     AnswerFacts facts;
     facts.isOtherTarget = true;
@@ -167,10 +168,10 @@
     BOOST_TEST(isServing("e1|m", start));
 }
 
-BOOST_AUTO_TEST_CASE(anAddressWithAnotherOwnerIsNotUsedUntilItsEntryChanges)
+BOOST_AUTO_TEST_CASE(aReusedAddressIsNotUsedUntilTheEntryChanges)
 {
-    // A crashed engine's address is given to an engine of another service. Requests sent there would run at the wrong service if
-    // that one did not refuse them.
+    // The address of a crashed engine is reassigned to an engine of another service. Requests sent there would be executed by the wrong
+    // service if it did not reject them.
     AnswerFacts facts;
     facts.isOtherTarget = true;
     facts.targetId = "stranger";
@@ -180,17 +181,17 @@
     BOOST_TEST(isServing("e1|m", start + 60s));
 }
 
-BOOST_AUTO_TEST_CASE(aTargetThatDeclinesIsLeftAloneForAMoment)
+BOOST_AUTO_TEST_CASE(aTargetThatDeclinesIsAvoidedBriefly)
 {
     directory.onNotExecuted("e1|m", {}, "m", start);
     BOOST_TEST(!isServing("e1|m", start + 100ms));
     BOOST_TEST(isServing("e1|m", start + 1s));
 }
 
-BOOST_AUTO_TEST_CASE(anAnnouncedLoadEndsWhenTheEngineSaysSo)
+BOOST_AUTO_TEST_CASE(avoidanceEndsWhenTheEngineReportsNewWeights)
 {
-    // The leader tells that an engine will load. Left alone for the whole announced time although it has loaded long since, a third of
-    // the engines would idle during each change of weights.
+    // The leader announces that an engine will load weights. If the engine were avoided for the whole announced time although it has already
+    // loaded them, a third of the engines would be idle during each update.
     directory.avoid("e1", start + 10s);
     BOOST_TEST(!isServing("e1|m", start + 1s));
     BOOST_TEST(isServing("e2|m", start + 1s));
@@ -198,7 +199,7 @@
     BOOST_TEST(isServing("e1|m", start + 1s));
 }
 
-BOOST_AUTO_TEST_CASE(aLeavingTargetGetsNothing)
+BOOST_AUTO_TEST_CASE(aLeavingTargetServesNothing)
 {
     auto targets = engines(1, 1);
     targets->at("e1").isLeaving = true;
@@ -207,7 +208,7 @@
     BOOST_TEST((directory.find("e1|m") != nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(plainServicesAreNamedByThemselvesAndModelsWithTheirService)
+BOOST_AUTO_TEST_CASE(schedulerModelCombinesServiceAndModelExceptForPlainServices)
 {
     auto targets = engines(1, 1);
     Target plain;
--- a/tests/gateway/test_weights_after_fleet_restart.cpp
+++ b/tests/gateway/test_weights_after_fleet_restart.cpp
@@ -6,15 +6,15 @@
 using namespace Lovageloft;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_CASE(noRequestGoesToOlderWeightsAfterTheDeadlineThoughTheWholeFleetHasRestarted)
+BOOST_AUTO_TEST_CASE(noRequestUsesOlderWeightsAfterTheDeadlineWhenTheWholeFleetRestarted)
 {
-    // New weights are named, and 6.5 s later all hosts lose power at once while an engine still waits for its turn. No host is left that
-    // knows how long ago the weights were named, and the store tells no time: taken for half a deadline old, they had readers get figures
-    // of weights that no longer count until more than nine seconds after the naming, where operators allow eight. By then the key that
-    // the leader had left for half a deadline is gone.
-    constexpr TimePoint namedAt{1h};
+    // All hosts lose power 6.5 s after new weights were published, while an engine still waits for its update. No host knows the publication
+    // time any more, and the store provides no timestamps. When the weights were assumed to be half a deadline old, callers got results of
+    // outdated weights until more than nine seconds after the publication, where operators allow eight. The key that the leader wrote for
+    // half a deadline has expired by then, which shows that the weights are older.
+    constexpr TimePoint publishedTime{1h};
     constexpr Duration deadline = 8s;
-    const TimePoint startedAt = namedAt + 6'500ms;
+    const TimePoint startedAt = publishedTime + 6'500ms;
     TargetDirectory directory(deadline);
     auto targets = std::make_shared<TargetMap>();
     Target engine;
@@ -26,7 +26,7 @@
     directory.setTargets(targets);
     directory.setPublishedWeights({"m", 4, startedAt, true});
     directory.setRecentWeights({});
-    for (const SchedulerEngine &listed : directory.engines(namedAt + deadline)) {
+    for (const SchedulerEngine &listed : directory.engines(publishedTime + deadline)) {
         BOOST_TEST(!listed.isServing);
     }
 }
--- a/tests/gateway/test_weights_ages.cpp
+++ b/tests/gateway/test_weights_ages.cpp
@@ -15,7 +15,7 @@
 constexpr Duration deadline = 8s;
 constexpr TimePoint start{1h};
 
-/// Hosts that hear of weights at once or late, and ask one another. Datagrams take up to 3 ms or are lost.
+/// Simulates hosts that see publications promptly or late and ask each other for the publication time. Datagrams take up to 3 ms or are lost.
 class Fleet
 {
 public:
@@ -30,32 +30,32 @@
         lossPercent_ = randomBelow(random_, 50);
     }
 
-    /// Weights are named at `namedAt`. Half of the hosts at most hear late: they were cut off, stood still, or have just started.
-    void name(TimePoint namedAt, std::int64_t version)
+    /// Publishes weights at `publishedTime`. At most half of the hosts see them late: they were cut off, stalled or have just started.
+    void publish(TimePoint publishedTime, std::int64_t version)
     {
         for (std::size_t i = 0; i < hosts_.size(); ++i) {
             const bool isLate = i < hosts_.size() / 2 && randomBelow(random_, 2) == 0;
-            const Duration delay = isLate ? milliseconds(longestDelay) : milliseconds(400);
-            const Duration silence = isLate ? delay + milliseconds(2'000) : delay;
+            const Duration delay = isLate ? randomDuration(maxDelayMilliseconds) : randomDuration(400);
+            const Duration silence = isLate ? delay + randomDuration(2'000) : delay;
             const bool hasStarted = isLate && randomBelow(random_, 3) == 0;
-            hosts_[i].setPublishedWeights({"m", version, namedAt + delay, hasStarted, hasStarted ? Duration::zero() : silence});
+            hosts_[i].setPublishedWeights({"m", version, publishedTime + delay, hasStarted, hasStarted ? Duration::zero() : silence});
             isLate_.push_back(isLate);
         }
     }
 
-    /// Each host that needs to asks three others, four times a second.
-    void ask(TimePoint from, TimePoint until)
+    /// Each host that needs the publication time asks up to three others, four times a second.
+    void exchangeAges(TimePoint from, TimePoint until)
     {
         for (TimePoint now = from; now < until; now += 250ms) {
             for (std::size_t i = 0; i < hosts_.size(); ++i) {
                 for (int asked = 0; asked < 3 && hosts_[i].needsPublicationTime(now); ++asked) {
-                    tell(hosts_[randomBelow(random_, hosts_.size())], hosts_[i], now);
+                    sendAges(hosts_[randomBelow(random_, hosts_.size())], hosts_[i], now);
                 }
             }
         }
     }
 
-    bool usesOlder(std::size_t host, TimePoint now) const
+    bool usesOlderWeights(std::size_t host, TimePoint now) const
     {
         return hosts_[host].engines(now).at(0).isServing;
     }
@@ -71,18 +71,19 @@
     }
 
 private:
-    static constexpr std::size_t longestDelay = 5'000; ///< Milliseconds. More than the youth of weights and what is left can't be made up for alone.
+    static constexpr std::size_t maxDelayMilliseconds =
+        5'000; ///< A host alone can't compensate for more than `recentWeightsPeriod` plus the rest of the deadline after `olderWeightsGracePeriod`.
 
-    Duration milliseconds(std::size_t most)
+    Duration randomDuration(std::size_t maxMilliseconds)
     {
-        return std::chrono::milliseconds(randomBelow(random_, most));
+        return std::chrono::milliseconds(randomBelow(random_, maxMilliseconds));
     }
 
-    void tell(const TargetDirectory &from, TargetDirectory &to, TimePoint now)
+    void sendAges(const TargetDirectory &from, TargetDirectory &to, TimePoint now)
     {
         for (PublishedWeights weights : from.weightsWithKnownTime()) {
             if (randomBelow(random_, 100) >= lossPercent_ && now >= weights.publishedAt) {
-                weights.publishedAt += milliseconds(3);
+                weights.publishedAt += randomDuration(3);
                 to.updatePublicationTime(weights);
             }
         }
@@ -96,18 +97,18 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(noHostUsesOlderWeightsAfterTheDeadlineNorStopsLongBefore)
+BOOST_AUTO_TEST_CASE(noHostUsesOlderWeightsAfterTheDeadlineOrStopsLongBefore)
 {
-    // Any hosts of a fleet stand still, are cut off or restart while weights are named, and datagrams between them get lost. Callers must not
-    // get answers of weights that no longer count, nor be refused while older ones may still be used.
+    // Hosts stall, are cut off or restart while weights are published, and datagrams between them are lost. Callers must neither get results
+    // of outdated weights nor be rejected while older weights may still be used.
     constexpr std::uint64_t seeds = 3'000;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         Fleet fleet(seed);
-        fleet.name(start, 2);
-        fleet.ask(start + 5s, start + 6s);
+        fleet.publish(start, 2);
+        fleet.exchangeAges(start + 5s, start + 6s);
         for (std::size_t host = 0; host < fleet.size(); ++host) {
-            BOOST_TEST(!fleet.usesOlder(host, start + deadline), "seed " << seed << ": host " << host << " uses older weights");
-            const bool isEarly = !fleet.isLate(host) && !fleet.usesOlder(host, start + olderWeightsGracePeriod(deadline) - 50ms);
+            BOOST_TEST(!fleet.usesOlderWeights(host, start + deadline), "seed " << seed << ": host " << host << " uses older weights");
+            const bool isEarly = !fleet.isLate(host) && !fleet.usesOlderWeights(host, start + olderWeightsGracePeriod(deadline) - 50ms);
             BOOST_TEST(!isEarly, "seed " << seed << ": host " << host << " stops too early");
         }
     }
--- a/tests/gateway/test_weights_records.cpp
+++ b/tests/gateway/test_weights_records.cpp
@@ -17,7 +17,7 @@
     MemoryStore store;
     WeightsRecords records{store, "p/weights/", 4s};
 
-    bool isKept()
+    bool isRecorded()
     {
         return store.get(key).status == StoreStatus::Ok;
     }
@@ -27,26 +27,26 @@
 
 BOOST_FIXTURE_TEST_SUITE(WeightsRecordsTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(namesAreRecordedWhileTheyAreYoung)
+BOOST_AUTO_TEST_CASE(weightsAreRecordedWhileTheyAreRecent)
 {
-    records.keep({"m", 2, start}, start + 3500ms);
-    BOOST_TEST(!isKept());
-    records.keep({"m", 2, start}, start + 20ms);
-    BOOST_TEST(isKept());
+    records.record({"m", 2, start}, start + 3500ms);
+    BOOST_TEST(!isRecorded());
+    records.record({"m", 2, start}, start + 20ms);
+    BOOST_TEST(isRecorded());
 }
 
-BOOST_AUTO_TEST_CASE(whatAHostFoundAtItsStartIsNotRecordedAsYoung)
+BOOST_AUTO_TEST_CASE(weightsFoundAtStartupAreNotRecorded)
 {
-    // A new leader that has just started doesn't know how long ago the weights were named. Were it to record them as young, a fleet that
-    // restarts again would use older ones for as long once more.
-    records.keep({"m", 2, start, true}, start);
-    BOOST_TEST(!isKept());
+    // A leader that has just started doesn't know how long ago the weights were published. If it recorded them as recent, a fleet that
+    // restarts again would use older weights for the whole grace period once more.
+    records.record({"m", 2, start, true}, start);
+    BOOST_TEST(!isRecorded());
 }
 
-BOOST_AUTO_TEST_CASE(aRecordOfAnotherLeaderIsLeftAsItIs)
+BOOST_AUTO_TEST_CASE(aRecordOfAnotherLeaderIsNotOverwritten)
 {
     const std::int64_t revision = store.compareAndSwap(key, 0, "m/2", 0).entry.revision;
-    records.keep({"m", 2, start}, start);
+    records.record({"m", 2, start}, start);
     BOOST_TEST(store.get(key).entry.revision == revision);
 }
 
