--- a/gateway/fleet_link.cpp
+++ b/gateway/fleet_link.cpp
@@ -85,20 +85,20 @@
     budget_.setLimits(limits, BootClock::now());
 }
 
-void FleetLink::takeTokens(std::string_view team, double tokens, TeamBudget::Answer answer)
+void FleetLink::acquireTokens(std::string_view team, double tokens, TeamBudget::DecisionHandler answer)
 {
-    budget_.take(team, tokens, BootClock::now(), sendTokenRequest_, std::move(answer));
+    budget_.consume(team, tokens, BootClock::now(), sendTokenRequest_, std::move(answer));
     scheduleTokenTimeout();
 }
 
-void FleetLink::giveBackTokens(std::string_view team, double tokens)
+void FleetLink::refundTokens(std::string_view team, double tokens)
 {
     budget_.refund(team, tokens);
 }
 
 void FleetLink::announceLoading(const std::string &targetId, Duration time)
 {
-    gateway_.leaveAlone(targetId, time);
+    gateway_.avoidTarget(targetId, time);
     peers_.broadcast(LoadingNotice{targetId, time});
 }
 
@@ -108,12 +108,12 @@
     peers_.broadcast(CacheStoreNotice{address, isAlive});
 }
 
-void FleetLink::askWeightsAges()
+void FleetLink::queryWeightsAges()
 {
     forSomeOthers([this](const std::string &host) { peers_.send(host, WeightsQuestion{}); });
 }
 
-void FleetLink::askProofs()
+void FleetLink::queryProofs()
 {
     forSomeOthers([this](const std::string &host) { peers_.send(host, ProofRequest{}); });
 }
@@ -190,9 +190,9 @@
 {
     // It may have lain unread while this host stood still. Counted from now, engines that have long loaded would be left alone for seconds,
     // all of them after a change of weights; one that still loads declines, and is left alone then.
-    const Duration left = notice.time - gateway_.justStoodStill(BootClock::now());
+    const Duration left = notice.time - gateway_.recentPause(BootClock::now());
     if (left > Duration::zero()) {
-        gateway_.leaveAlone(notice.target, left);
+        gateway_.avoidTarget(notice.target, left);
     }
     onOrderOfOther_(notice.target);
 }
@@ -233,7 +233,7 @@
 
 bool FleetLink::isBehind() const
 {
-    return gateway_.justStoodStill(BootClock::now()) != Duration::zero();
+    return gateway_.recentPause(BootClock::now()) != Duration::zero();
 }
 
 void FleetLink::onProofRequest(const std::string &host, const ProofRequest &request)
@@ -245,7 +245,7 @@
 
 void FleetLink::onProofReply(const ProofReply &reply)
 {
-    gateway_.noteTableElsewhere(reply.revision, reply.version);
+    gateway_.notePeerTable(reply.revision, reply.version);
     if (relayedStore_ != nullptr) {
         relayedStore_->onProofReply(reply);
     }
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -155,7 +155,7 @@
     }
 }
 
-void Gateway::noteTableElsewhere(std::int64_t revision, std::int64_t version)
+void Gateway::notePeerTable(std::int64_t revision, std::int64_t version)
 {
     if (freshness_.notePeerTable({version, revision})) {
         writeLog(LogLevel::Warning, "configuration_of_older_copy", {{"version", table_->version}, {"elsewhere", version}});
@@ -177,7 +177,7 @@
 {
     const TimePoint now = BootClock::now();
     PublishedWeights heard = weights;
-    heard.silence = std::max(heard.silence, standstills_.justEnded(now) - (now - weights.publishedAt));
+    heard.silence = std::max(heard.silence, pauseDetector_.recentPause(now) - (now - weights.publishedAt));
     writeLog(LogLevel::Info, "weights_named", {{"model", weights.model}, {"version", weights.version}, {"silence_ms", toMillis(heard.silence)}});
     directory_.setPublishedWeights(heard);
     agesAskedUntil_ = now + ageQuestionTime;
@@ -207,7 +207,7 @@
 void Gateway::learnWeightsAge(const WeightsAge &age)
 {
     const TimePoint now = BootClock::now();
-    if (standstills_.justEnded(now) != Duration::zero()) {
+    if (pauseDetector_.recentPause(now) != Duration::zero()) {
         return; // It may have lain here unread, and be older than it says. The question is asked again.
     }
     if (directory_.updatePublicationTime({age.model, age.version, now - age.age})) {
@@ -216,9 +216,9 @@
     }
 }
 
-Duration Gateway::justStoodStill(TimePoint now) const
+Duration Gateway::recentPause(TimePoint now) const
 {
-    return standstills_.justEnded(now);
+    return pauseDetector_.recentPause(now);
 }
 
 void Gateway::setHosts(const std::map<std::string, HostRecord> &hosts, double share)
@@ -434,7 +434,7 @@
     }
 }
 
-void Gateway::leaveAlone(std::string_view targetId, Duration time)
+void Gateway::avoidTarget(std::string_view targetId, Duration time)
 {
     directory_.avoid(targetId, BootClock::now() + time);
     dispatch_.invalidateEngines();
@@ -473,7 +473,7 @@
     return status;
 }
 
-void Gateway::refuseUnread(CallerSession &session, const Reason &reason)
+void Gateway::refuseMalformed(CallerSession &session, const Reason &reason)
 {
     writeLog(LogLevel::Info, "message_refused", {{"code", std::int64_t{static_cast<int>(reason.code)}}, {"reason", reason.text}});
     refuse(&session, reason, RunState::NotRun, {});
@@ -508,16 +508,16 @@
 void Gateway::tick()
 {
     const TimePoint now = BootClock::now();
-    standstills_.look(now);
+    pauseDetector_.tick(now);
     pool_.closeStale(now);
     fleet_.sendHeartbeat(now);
     if (now < proofsAskedUntil_) {
-        fleet_.askProofs();
+        fleet_.queryProofs();
     }
     if (now < agesAskedUntil_ || directory_.needsPublicationTime(now)) {
-        fleet_.askWeightsAges();
+        fleet_.queryWeightsAges();
     }
-    dispatch_.renewEngines(now);
+    dispatch_.refreshEngines(now);
     const bool ready = isReady(now);
     if (ready != wasReady_) {
         wasReady_ = ready;
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -12,11 +12,11 @@
 #include "core/metrics.h"
 #include "gateway/fleet_link.h"
 #include "gateway/operator_view.h"
+#include "gateway/pause_detector.h"
 #include "gateway/protocol.h"
 #include "gateway/request_dispatch.h"
 #include "gateway/request_metrics.h"
 #include "gateway/routing_table.h"
-#include "gateway/standstills.h"
 #include "gateway/status_server.h"
 #include "gateway/table_freshness.h"
 #include "gateway/target_directory.h"
@@ -90,7 +90,7 @@
     void noteNewerTable(std::int64_t revision);
 
     /// Another host has this configuration in force; see TableFreshness::notePeerTable.
-    void noteTableElsewhere(std::int64_t revision, std::int64_t version);
+    void notePeerTable(std::int64_t revision, std::int64_t version);
 
     void setTargets(std::shared_ptr<const TargetMap> targets);
     void setPublishedWeights(const PublishedWeights &weights);
@@ -115,7 +115,7 @@
     void setLimits(const GatewayLimits &limits);
 
     /// The time since a standstill of this process began that ends now or ended a moment ago; else zero.
-    Duration justStoodStill(TimePoint now) const;
+    Duration recentPause(TimePoint now) const;
 
     /// Begins a graceful shutdown.
     void drain();
@@ -185,7 +185,7 @@
     void beginWhenConfigured(const std::shared_ptr<RoutedRequest> &request);
 
     /// A target is about to load and declines requests meanwhile.
-    void leaveAlone(std::string_view targetId, Duration time);
+    void avoidTarget(std::string_view targetId, Duration time);
 
     void onTargetLoad(std::string_view engineName, const TargetLoad &load);
 
@@ -196,7 +196,7 @@
     int refuse(CallerSession *session, const Reason &reason, RunState runState, Duration retryAfter);
 
     /// The same for a message that could not be read.
-    void refuseUnread(CallerSession &session, const Reason &reason);
+    void refuseMalformed(CallerSession &session, const Reason &reason);
 
     void onRequestEnded(const RoutedRequest &request, const EndedRequest &ended);
     void onSessionEnded(const std::shared_ptr<CallerSession> &session);
@@ -240,7 +240,7 @@
     double share_ = 0; ///< This host's part of what is divided evenly.
     std::string leader_;
     bool hasTargets_ = false;
-    Standstills standstills_;
+    PauseDetector pauseDetector_;
     TimePoint agesAskedUntil_;
     bool isAccepting_ = false;
     std::optional<TimePoint> drainStartedAt_;
--- a/gateway/target_directory.cpp
+++ b/gateway/target_directory.cpp
@@ -17,7 +17,7 @@
 /// Assumed prefill speed of engines until their responses show the actual one: about that of a mid-size model on one accelerator.
 constexpr double assumedPrefillTokensPerSecond = 90'000;
 
-/// Assumed speed of targets that run no models. Each of their requests counts as plainWorkTokens.
+/// Assumed speed of targets that run no models. Each of their requests counts as serviceCallWorkTokens.
 constexpr double plainTokensPerSecondAndSlot = 2'000;
 
 /// Fraction of an engine's memory that holds cached prompts. Running requests use the rest: two or three of the eight prompts that fit.
@@ -200,7 +200,7 @@
     }
     Correction &correction = corrections_[target->id];
     correction.incarnation = target->incarnation;
-    if (!facts.isOtherTarget) {
+    if (!facts.isTargetMismatch) {
         correction.avoidUntil = now + declineBackoff;
         return;
     }
--- a/tests/gateway/test_target_directory.cpp
+++ b/tests/gateway/test_target_directory.cpp
@@ -160,7 +160,7 @@
     // still trusted, every request would make a wasted round trip until the watch delivers the new entry.
     directory.setPublishedWeights({"m", 2, start});
     AnswerFacts facts;
-    facts.isOtherTarget = true;
+    facts.isTargetMismatch = true;
     facts.targetId = "e1";
     directory.onNotExecuted("e1|m", facts, "m", start);
     BOOST_TEST(versionOf("e1|m", start) == "2");
@@ -173,7 +173,7 @@
     // The address of a crashed engine is reassigned to an engine of another service. Requests sent there would be executed by the wrong
     // service if it did not reject them.
     AnswerFacts facts;
-    facts.isOtherTarget = true;
+    facts.isTargetMismatch = true;
     facts.targetId = "stranger";
     directory.onNotExecuted("e1|m", facts, "m", start);
     BOOST_TEST(!isServing("e1|m", start + 60s));
