--- a/gateway/target_directory.cpp
+++ b/gateway/target_directory.cpp
@@ -18,7 +18,7 @@
 constexpr double assumedPrefillTokensPerSecond = 90'000;
 
 /// Assumed speed of targets that run no models. Each of their requests counts as serviceCallWorkTokens.
-constexpr double plainTokensPerSecondAndSlot = 2'000;
+constexpr double serviceTokensPerSecondAndSlot = 2'000;
 
 /// Fraction of an engine's memory that holds cached prompts. Running requests use the rest: two or three of the eight prompts that fit.
 constexpr double promptCacheFraction = 0.7;
@@ -306,7 +306,7 @@
     SchedulerEngine engine;
     engine.incarnation = static_cast<std::uint64_t>(target.incarnation);
     engine.batchLimit = static_cast<std::uint32_t>(target.slots);
-    engine.prefillTokensPerSecond = target.models.empty() ? plainTokensPerSecondAndSlot * static_cast<double>(target.slots) : assumedPrefillTokensPerSecond;
+    engine.prefillTokensPerSecond = target.models.empty() ? serviceTokensPerSecondAndSlot * static_cast<double>(target.slots) : assumedPrefillTokensPerSecond;
     const auto cache = cacheTokens_.find(target.service);
     engine.cacheTokens = cache != cacheTokens_.end() ? cache->second * promptCacheFraction : 0;
     const Correction *correction = findCorrection(target);
--- a/tests/gateway/test_target_directory.cpp
+++ b/tests/gateway/test_target_directory.cpp
@@ -208,13 +208,13 @@
     BOOST_TEST((directory.find("e1|m") != nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(schedulerModelCombinesServiceAndModelExceptForPlainServices)
+BOOST_AUTO_TEST_CASE(schedulerModelCombinesServiceAndModelForEnginesOnly)
 {
     auto targets = engines(1, 1);
-    Target plain;
-    plain.id = "p1";
-    plain.service = "ledger";
-    targets->emplace("p1", plain);
+    Target serviceTarget;
+    serviceTarget.id = "p1";
+    serviceTarget.service = "ledger";
+    targets->emplace("p1", serviceTarget);
     directory.setTargets(targets);
     BOOST_TEST(directory.schedulerModel("s", "m") == "s|m");
     BOOST_TEST(directory.schedulerModel("ledger", "") == "ledger");
