--- a/gateway/deflate.cpp
+++ b/gateway/deflate.cpp
@@ -14,23 +14,23 @@
 std::string deflated(std::string_view bytes)
 {
     std::ostringstream out;
-    constexpr int fastest = 1;
-    Poco::DeflatingOutputStream deflater(out, Poco::DeflatingStreamBuf::STREAM_ZLIB, fastest);
+    constexpr int fastestLevel = 1;
+    Poco::DeflatingOutputStream deflater(out, Poco::DeflatingStreamBuf::STREAM_ZLIB, fastestLevel);
     deflater.write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
     deflater.close();
     return std::move(out).str();
 }
 
-std::optional<std::string> inflated(std::string_view bytes, std::size_t limit)
+std::optional<std::string> inflated(std::string_view bytes, std::size_t maxBytes)
 {
     try {
         Poco::MemoryInputStream in(bytes.data(), static_cast<std::streamsize>(bytes.size()));
         Poco::InflatingInputStream inflater(in, Poco::InflatingStreamBuf::STREAM_ZLIB);
         std::string out;
-        std::array<char, 4'096> piece{};
-        while (inflater.read(piece.data(), piece.size()) || inflater.gcount() > 0) {
-            out.append(piece.data(), static_cast<std::size_t>(inflater.gcount()));
-            if (out.size() > limit) {
+        std::array<char, 4'096> chunk{};
+        while (inflater.read(chunk.data(), chunk.size()) || inflater.gcount() > 0) {
+            out.append(chunk.data(), static_cast<std::size_t>(inflater.gcount()));
+            if (out.size() > maxBytes) {
                 return std::nullopt;
             }
         }
--- a/gateway/deflate.h
+++ b/gateway/deflate.h
@@ -8,10 +8,10 @@
 namespace Lovageloft
 {
 
-/// The bytes in zlib's format, at its fastest level.
+/// Compresses the bytes to zlib format at the fastest level.
 std::string deflated(std::string_view bytes);
 
-/// What was deflated; nothing if the bytes can't be read or would grow beyond `limit`.
-std::optional<std::string> inflated(std::string_view bytes, std::size_t limit);
+/// Decompresses zlib data. Returns nothing if the data is invalid or empty, or if the result would exceed `maxBytes`.
+std::optional<std::string> inflated(std::string_view bytes, std::size_t maxBytes);
 
 } // namespace Lovageloft
--- a/gateway/fleet_link.cpp
+++ b/gateway/fleet_link.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Between two heartbeats of a relay; see relaySilence in relayed_store.cpp.
+/// Interval between two heartbeats of a relay; see silenceBeforeStoreCall in relayed_store.cpp.
 constexpr Duration heartbeatInterval = std::chrono::milliseconds(400);
 
 } // namespace
@@ -18,45 +18,46 @@
 FleetLink::FleetLink(Gateway &gateway, std::string hostName)
     : gateway_(gateway)
     , hostName_(std::move(hostName))
-    , peers_(gateway.loop(), *this)
+    , socket_(gateway.loop(), *this)
     , budget_(hostName_)
     , tokenTimer_(gateway.loop())
-    , sendTokenRequest_([this](const std::string &host, const TokenRequest &request) { peers_.send(host, request); })
+    , sendTokenRequest_([this](const std::string &host, const TokenRequest &request) { socket_.send(host, request); })
     , crashes_(hostName_,
-               {[this](const std::string &host, const CrashReport &report) { peers_.send(host, report); },
-                [this](const std::string &host, RequestFingerprint request) { peers_.send(host, request); },
-                [this](RequestFingerprint request) { peers_.broadcast(request); },
+               {[this](const std::string &host, const CrashReport &report) { socket_.send(host, report); },
+                [this](const std::string &host, RequestFingerprint request) { socket_.send(host, request); },
+                [this](RequestFingerprint request) { socket_.broadcast(request); },
                 [this](RequestFingerprint request) { recordQuarantine_(request); }})
 {
 }
 
 bool FleetLink::open(const HostAddress &address, Reason &reason)
 {
-    return peers_.open(address, reason);
+    return socket_.open(address, reason);
 }
 
 void FleetLink::close()
 {
-    peers_.close();
+    socket_.close();
 }
 
 std::uint16_t FleetLink::port() const
 {
-    return peers_.port();
+    return socket_.port();
 }
 
 void FleetLink::setRelayedStore(RelayedStore &store)
 {
     relayedStore_ = &store;
     const auto sendOnLoop = [this](const std::string &host, const auto &request) {
-        gateway_.post([this, host, request](Gateway &) { peers_.send(host, request); });
+        gateway_.post([this, host, request](Gateway &) { socket_.send(host, request); });
     };
-    store.setNetwork({[this](const ChangesNotice &notice) { gateway_.post([this, notice](Gateway &) { peers_.broadcast(notice); }); }, sendOnLoop, sendOnLoop});
+    store.setNetwork(
+        {[this](const ChangesNotice &notice) { gateway_.post([this, notice](Gateway &) { socket_.broadcast(notice); }); }, sendOnLoop, sendOnLoop});
 }
 
 void FleetLink::setOrderListener(std::function<void(const std::string &targetId)> listener)
 {
-    onOrderOfOther_ = std::move(listener);
+    orderListener_ = std::move(listener);
 }
 
 void FleetLink::setHosts(const std::map<std::string, HostRecord> &hosts, double share)
@@ -69,9 +70,9 @@
             others.emplace(name, record);
         }
     }
-    peers_.setPeers(others);
-    others_.clear();
-    std::transform(others.begin(), others.end(), std::back_inserter(others_), [](const auto &other) { return other.first; });
+    socket_.setPeers(others);
+    otherHosts_.clear();
+    std::transform(others.begin(), others.end(), std::back_inserter(otherHosts_), [](const auto &other) { return other.first; });
     const std::vector<std::string> candidates = dutyHosts(capacitiesOf(hosts));
     if (relayedStore_ != nullptr) {
         relayedStore_->setHosts(names, candidates);
@@ -85,9 +86,9 @@
     budget_.setLimits(limits, BootClock::now());
 }
 
-void FleetLink::acquireTokens(std::string_view team, double tokens, TeamBudget::Answer answer)
+void FleetLink::acquireTokens(std::string_view team, double tokens, TeamBudget::Answer handler)
 {
-    budget_.take(team, tokens, BootClock::now(), sendTokenRequest_, std::move(answer));
+    budget_.take(team, tokens, BootClock::now(), sendTokenRequest_, std::move(handler));
     scheduleTokenTimeout();
 }
 
@@ -96,34 +97,34 @@
     budget_.refund(team, tokens);
 }
 
-void FleetLink::announceLoading(const std::string &targetId, Duration time)
+void FleetLink::announceLoading(const std::string &targetId, Duration duration)
 {
-    gateway_.leaveAlone(targetId, time);
-    peers_.broadcast(LoadingNotice{targetId, time});
+    gateway_.leaveAlone(targetId, duration);
+    socket_.broadcast(LoadingNotice{targetId, duration});
 }
 
 void FleetLink::announceCacheStore(const std::string &address, bool isAlive)
 {
     gateway_.setCacheStoreAlive(address, isAlive);
-    peers_.broadcast(CacheStoreNotice{address, isAlive});
+    socket_.broadcast(CacheStoreNotice{address, isAlive});
 }
 
 void FleetLink::queryWeightsAges()
 {
-    forSomeOthers([this](const std::string &host) { peers_.send(host, WeightsQuestion{}); });
+    forSomeHosts([this](const std::string &host) { socket_.send(host, WeightsQuestion{}); });
 }
 
 void FleetLink::queryProofs()
 {
-    forSomeOthers([this](const std::string &host) { peers_.send(host, ProofRequest{}); });
+    forSomeHosts([this](const std::string &host) { socket_.send(host, ProofRequest{}); });
 }
 
-/// In a rolling restart at least one of three has run for longer than the deadline of new weights.
-void FleetLink::forSomeOthers(const std::function<void(const std::string &host)> &task)
+/// Three hosts, because during a rolling restart at least one of them has been running for longer than the deadline for new weights.
+void FleetLink::forSomeHosts(const std::function<void(const std::string &host)> &action)
 {
-    constexpr std::size_t askedAtOnce = 3;
-    for (std::size_t i = 0; i < std::min(askedAtOnce, others_.size()); ++i) {
-        task(others_[nextAsked_++ % others_.size()]);
+    constexpr std::size_t maxQueriedHosts = 3;
+    for (std::size_t i = 0; i < std::min(maxQueriedHosts, otherHosts_.size()); ++i) {
+        action(otherHosts_[nextQueriedHost_++ % otherHosts_.size()]);
     }
 }
 
@@ -156,7 +157,7 @@
 {
     const TimePoint now = BootClock::now();
     for (const NamedWeights &weights : gateway_.targets().namedWithKnownAge()) {
-        peers_.send(host, WeightsAge{weights.model, weights.version, now - weights.learntAt});
+        socket_.send(host, WeightsAge{weights.model, weights.version, now - weights.learntAt});
     }
 }
 
@@ -178,7 +179,7 @@
     if (assignment.workTokens < minAnnouncedTokens) {
         return;
     }
-    peers_.broadcast(DispatchNotice{assignment.engine, assignment.workTokens, assignment.newTokens, assignment.blocks});
+    socket_.broadcast(DispatchNotice{assignment.engine, assignment.workTokens, assignment.newTokens, assignment.blocks});
 }
 
 void FleetLink::onDispatchNotice(const DispatchNotice &notice)
@@ -188,18 +189,19 @@
 
 void FleetLink::onLoadingNotice(const LoadingNotice &notice)
 {
-    // It may have lain unread while this host stood still. Counted from now, engines that have long loaded would be left alone for seconds,
-    // all of them after a change of weights; one that still loads declines, and is left alone then.
-    const Duration left = notice.time - gateway_.justStoodStill(BootClock::now());
-    if (left > Duration::zero()) {
-        gateway_.leaveAlone(notice.target, left);
+    // The notice may have waited in the socket buffer while this process was paused. With its duration counted from now, engines that have
+    // finished loading, after a change of weights all of them, would get no requests for seconds. An engine that is still loading declines
+    // a request and is then avoided.
+    const Duration remaining = notice.time - gateway_.justStoodStill(BootClock::now());
+    if (remaining > Duration::zero()) {
+        gateway_.leaveAlone(notice.target, remaining);
     }
-    onOrderOfOther_(notice.target);
+    orderListener_(notice.target);
 }
 
 void FleetLink::onTokenRequest(const std::string &host, const TokenRequest &request)
 {
-    peers_.send(host, budget_.onRequest(request, BootClock::now()));
+    socket_.send(host, budget_.onRequest(request, BootClock::now()));
 }
 
 void FleetLink::onTokenReply(const TokenReply &reply)
@@ -220,7 +222,7 @@
         return;
     }
     if (const auto reply = relayedStore_->changesFor(request)) {
-        peers_.send(host, *reply);
+        socket_.send(host, *reply);
     }
 }
 
@@ -239,7 +241,7 @@
 void FleetLink::onProofRequest(const std::string &host, const ProofRequest &request)
 {
     if (const auto table = gateway_.table()) {
-        peers_.send(host, ProofReply{request.id, table->revision, gateway_.proofAge(BootClock::now()), table->version});
+        socket_.send(host, ProofReply{request.id, table->revision, gateway_.proofAge(BootClock::now()), table->version});
     }
 }
 
--- a/gateway/fleet_link.h
+++ b/gateway/fleet_link.h
@@ -18,11 +18,11 @@
 
 class Gateway;
 
-/// Requests that compute less than one cache block are not told to other hosts: they keep an engine busy for 11 ms at most.
+/// Requests that compute less than one cache block are not announced to other hosts: they occupy an engine for at most 11 ms.
 inline constexpr std::uint32_t minAnnouncedTokens = 1'024;
 
-/// This host among the others: what it tells them and hears from them in datagrams, and the teams' rates that it keeps with them. For the
-/// event loop only.
+/// The messages that this host exchanges with other hosts in datagrams, and the teams' rate limits that the hosts enforce together. For use
+/// on the event loop only.
 class FleetLink final : private PeerEvents
 {
 public:
@@ -31,47 +31,47 @@
     bool open(const HostAddress &address, Reason &reason);
     void close();
 
-    /// The port for datagrams as bound.
+    /// The bound UDP port.
     std::uint16_t port() const;
 
-    /// The store whose notices and proofs go through this host's datagrams. To be called before the event loop runs.
+    /// Sets the store client whose notices, requests and replies are sent and received here. Must be called before the event loop runs.
     void setRelayedStore(RelayedStore &store);
 
-    /// Hears of engines that other hosts order, or are about to. To be called before the event loop runs.
+    /// Sets the listener for engines that another host has ordered to load weights, or is about to. Must be called before the event loop runs.
     void setOrderListener(std::function<void(const std::string &targetId)> listener);
 
-    /// The hosts that count, with this one, and this host's part of what is divided evenly.
+    /// Sets the hosts of the fleet including this one, and this host's share, from 0 to 1, of limits that are divided evenly.
     void setHosts(const std::map<std::string, HostRecord> &hosts, double share);
 
     void setLimits(std::span<const TeamLimit> limits);
 
-    /// Takes tokens from a team's rate; `answer` is called at once or within some round trips.
-    void acquireTokens(std::string_view team, double tokens, TeamBudget::Answer answer);
+    /// Consumes tokens of a team's rate limit; `handler` is called immediately or within a few round trips.
+    void acquireTokens(std::string_view team, double tokens, TeamBudget::Answer handler);
     void refundTokens(std::string_view team, double tokens);
 
-    /// A long prompt was sent to an engine; short ones are not told.
+    /// Announces that a request was sent to an engine; does nothing below `minAnnouncedTokens`.
     void announceDispatch(const SchedulerAssignment &assignment);
 
-    /// A target is about to load: it is left alone, here and on all other hosts.
-    void announceLoading(const std::string &targetId, Duration time);
+    /// Announces that a target is about to load weights: this host and all others send it no requests for `duration`.
+    void announceLoading(const std::string &targetId, Duration duration);
 
-    /// Whether a cache store answers.
+    /// Announces whether a cache store answers.
     void announceCacheStore(const std::string &address, bool isAlive);
 
-    /// Takes a request out of use on hosts that start later. To be called before the event loop runs.
+    /// Sets the function that records a quarantined request for hosts that start later. Must be called before the event loop runs.
     void setQuarantineRecorder(std::function<void(RequestFingerprint)> recorder);
 
-    /// What this host knows of requests that end their targets.
+    /// Tracks requests that crash their targets.
     CrashGuard &crashes();
     const CrashGuard &crashes() const;
 
-    /// Asks a few hosts how long ago the weights were named that this host found when it started.
+    /// Asks a few hosts how long ago the weights were published that this host found at startup.
     void queryWeightsAges();
 
-    /// Asks a few hosts for the configuration that they have in force.
+    /// Asks a few hosts for the revision and version of the configuration that they use.
     void queryProofs();
 
-    /// On a relay, now and then: see RelayedStore::sendHeartbeat.
+    /// On a relay, calls RelayedStore::sendHeartbeat() at a fixed interval. Called periodically.
     void sendHeartbeat(TimePoint now);
 
 private:
@@ -91,20 +91,20 @@
     void onQuarantined(RequestFingerprint request) override;
     bool isBehind() const override;
     void scheduleTokenTimeout();
-    void forSomeOthers(const std::function<void(const std::string &host)> &task);
+    void forSomeHosts(const std::function<void(const std::string &host)> &action);
 
     Gateway &gateway_;
     std::string hostName_;
-    PeerSocket peers_;
+    PeerSocket socket_;
     TeamBudget budget_;
     boost::asio::steady_timer tokenTimer_;
     TeamBudget::Send sendTokenRequest_;
     std::function<void(RequestFingerprint)> recordQuarantine_ = [](RequestFingerprint) {};
     CrashGuard crashes_;
-    std::vector<std::string> others_; ///< Names of the other hosts.
-    std::size_t nextAsked_ = 0; ///< Of those.
+    std::vector<std::string> otherHosts_; ///< Names of all other hosts.
+    std::size_t nextQueriedHost_ = 0; ///< Counter; modulo the size of otherHosts_ it is the next host to query.
     RelayedStore *relayedStore_ = nullptr;
-    std::function<void(const std::string &targetId)> onOrderOfOther_ = [](const std::string &) {};
+    std::function<void(const std::string &targetId)> orderListener_ = [](const std::string &) {};
     TimePoint nextHeartbeat_;
 };
 
--- a/gateway/gateway_settings.h
+++ b/gateway/gateway_settings.h
@@ -9,7 +9,7 @@
 namespace Lovageloft
 {
 
-/// The settings of one host that runs the gateway, however they were written.
+/// The settings of one host that runs the gateway, independent of the file format.
 struct GatewaySettings
 {
     std::string hostName;
@@ -17,19 +17,19 @@
     HostAddress callers;
     HostAddress readiness;
     HostAddress store;
-    HostAddress peers; ///< Where datagrams of other hosts come.
+    HostAddress peers; ///< Receives datagrams of other hosts.
     HostCapacity capacity;
-    Duration keyProofWindow{}; ///< A withdrawn key must have stopped working within that time.
-    Duration configurationWindow{}; ///< A change must be in force within that time.
-    Duration weightsDeadline{}; ///< New weights must serve all new requests within that time.
+    Duration keyProofWindow{}; ///< Time within which a withdrawn key must stop working.
+    Duration configurationWindow{}; ///< Time within which a configuration change must be in force.
+    Duration weightsDeadline{}; ///< Time within which new weights must serve all new requests.
     Duration leaderLease{};
-    Duration shutdownTimeout{}; ///< From the signal to stop until the process is killed.
+    Duration shutdownTimeout{}; ///< From the stop signal until the process is killed.
     bool enginesCheckFencing = true;
-    double retryRatio = 0.1; ///< Retries per request over all hosts.
-    double retrySlack = 0; ///< Retries that are allowed on top, over all hosts, within ten seconds.
-    double quotaOver = 0; ///< Part of a team's limit by which it may be passed.
-    double quotaSlack = 0; ///< Tokens by which it may be passed on top, within one window.
-    Duration minLeaseTimeToLive{}; ///< The store grants none below.
+    double retryRatio = 0.1; ///< Retries per request, over all hosts.
+    double retrySlack = 0; ///< Additional retries within ten seconds, over all hosts.
+    double quotaOver = 0; ///< Fraction of a team's limit by which the limit may be exceeded.
+    double quotaSlack = 0; ///< Tokens by which the limit may be exceeded in addition, within one window.
+    Duration minLeaseTimeToLive{}; ///< The shortest lease that the store grants.
 };
 
 } // namespace Lovageloft
--- a/gateway/host_record.cpp
+++ b/gateway/host_record.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-constexpr double thousandths = 1'000;
+constexpr double thousandthsPerUnit = 1'000;
 
-/// Takes the first word off the text.
-std::string_view takeWord(std::string_view &text)
+/// Removes the first word from the text and returns it.
+std::string_view consumeWord(std::string_view &text)
 {
     const std::size_t end = std::min(text.find(' '), text.size());
     const std::string_view word = text.substr(0, end);
@@ -25,30 +25,30 @@
 {
     std::uint32_t value = 0;
     const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value);
-    return error == std::errc() && end == word.data() + word.size() ? value / thousandths : 0;
+    return error == std::errc() && end == word.data() + word.size() ? value / thousandthsPerUnit : 0;
 }
 
-std::string textOf(double value)
+std::string thousandthsText(double value)
 {
-    return std::to_string(std::llround(value * thousandths));
+    return std::to_string(std::llround(value * thousandthsPerUnit));
 }
 
 } // namespace
 
 std::string hostRecordText(const HostRecord &record)
 {
-    return hostAddressText(record.address) + ' ' + textOf(record.capacity.cores) + ' ' + textOf(record.capacity.linkMegabitsPerSecond) + ' '
+    return hostAddressText(record.address) + ' ' + thousandthsText(record.capacity.cores) + ' ' + thousandthsText(record.capacity.linkMegabitsPerSecond) + ' '
         + record.dataCentre;
 }
 
 std::optional<HostRecord> parseHostRecord(std::string_view text)
 {
-    const auto address = parseHostAddress(takeWord(text));
+    const auto address = parseHostAddress(consumeWord(text));
     if (!address) {
         return std::nullopt;
     }
-    const double cores = parseThousandths(takeWord(text));
-    const double megabits = parseThousandths(takeWord(text));
+    const double cores = parseThousandths(consumeWord(text));
+    const double megabits = parseThousandths(consumeWord(text));
     return HostRecord{*address, {cores, megabits}, std::string(text)};
 }
 
--- a/gateway/host_record.h
+++ b/gateway/host_record.h
@@ -11,21 +11,22 @@
 namespace Lovageloft
 {
 
-/// What a host's key in the store says of it.
+/// The value of a host's key in the store.
 struct HostRecord
 {
-    HostAddress address; ///< Where it takes datagrams.
+    HostAddress address; ///< Where the host receives datagrams.
     HostCapacity capacity;
     std::string dataCentre;
 };
 
-/// "ADDRESS:PORT CORES MEGABITS DATA-CENTRE", the two numbers in thousandths.
+/// Formats a record as "ADDRESS:PORT CORES MEGABITS DATA-CENTRE", with both numbers in thousandths.
 std::string hostRecordText(const HostRecord &record);
 
-/// Nothing if there is no address; a capacity that is missing or can't be read is 0, a data centre that is missing empty.
+/// Parses the text of a record. Returns nothing if the address is missing or invalid. A missing or invalid capacity is read as 0, a missing
+/// data centre as empty.
 std::optional<HostRecord> parseHostRecord(std::string_view text);
 
-/// By the same names.
+/// The capacities of the hosts, by host name.
 std::map<std::string, HostCapacity> capacitiesOf(const std::map<std::string, HostRecord> &hosts);
 
 } // namespace Lovageloft
--- a/gateway/measured_store.cpp
+++ b/gateway/measured_store.cpp
@@ -23,13 +23,13 @@
 }
 
 template <typename Call>
-auto MeasuredStore::measured(std::string_view name, Call call)
+auto MeasuredStore::recordCall(std::string_view name, Call call)
 {
-    const TimePoint begin = BootClock::now();
+    const TimePoint startedAt = BootClock::now();
     auto reply = call();
     metrics_.add("lovageloft_store_calls_total", {{"call", name}, {"result", statusName(reply.status)}});
     if (reply.status != StoreStatus::Unavailable && reply.status != StoreStatus::AnswerLost) {
-        metrics_.observe("lovageloft_store_call_seconds", {{"call", name}}, toSeconds(BootClock::now() - begin));
+        metrics_.observe("lovageloft_store_call_seconds", {{"call", name}}, toSeconds(BootClock::now() - startedAt));
     }
     return reply;
 }
@@ -41,47 +41,47 @@
 
 StoreReply MeasuredStore::get(std::string_view key)
 {
-    return measured("get", [&] { return store_.get(key); });
+    return recordCall("get", [&] { return store_.get(key); });
 }
 
 StoreReply MeasuredStore::confirm(std::string_view key, std::int64_t revision)
 {
-    return measured("confirm", [&] { return store_.confirm(key, revision); });
+    return recordCall("confirm", [&] { return store_.confirm(key, revision); });
 }
 
 StoreListReply MeasuredStore::list(std::string_view prefix)
 {
-    return measured("list", [&] { return store_.list(prefix); });
+    return recordCall("list", [&] { return store_.list(prefix); });
 }
 
 StoreReply MeasuredStore::compareAndSwap(std::string_view key, std::int64_t expectedRevision, std::string_view value, std::int64_t leaseId)
 {
-    return measured("compare_and_swap", [&] { return store_.compareAndSwap(key, expectedRevision, value, leaseId); });
+    return recordCall("compare_and_swap", [&] { return store_.compareAndSwap(key, expectedRevision, value, leaseId); });
 }
 
 StoreReply MeasuredStore::compareAndDelete(std::string_view key, std::int64_t expectedRevision)
 {
-    return measured("compare_and_delete", [&] { return store_.compareAndDelete(key, expectedRevision); });
+    return recordCall("compare_and_delete", [&] { return store_.compareAndDelete(key, expectedRevision); });
 }
 
 StoreListReply MeasuredStore::watch(std::string_view prefix, std::int64_t afterRevision, Duration timeout)
 {
-    return measured("watch", [&] { return store_.watch(prefix, afterRevision, timeout); });
+    return recordCall("watch", [&] { return store_.watch(prefix, afterRevision, timeout); });
 }
 
 StoreLeaseReply MeasuredStore::grantLease(Duration timeToLive)
 {
-    return measured("grant_lease", [&] { return store_.grantLease(timeToLive); });
+    return recordCall("grant_lease", [&] { return store_.grantLease(timeToLive); });
 }
 
 StoreLeaseReply MeasuredStore::keepAlive(std::int64_t leaseId)
 {
-    return measured("keep_alive", [&] { return store_.keepAlive(leaseId); });
+    return recordCall("keep_alive", [&] { return store_.keepAlive(leaseId); });
 }
 
 StoreLeaseReply MeasuredStore::revokeLease(std::int64_t leaseId)
 {
-    return measured("revoke_lease", [&] { return store_.revokeLease(leaseId); });
+    return recordCall("revoke_lease", [&] { return store_.revokeLease(leaseId); });
 }
 
 } // namespace Lovageloft
--- a/gateway/measured_store.h
+++ b/gateway/measured_store.h
@@ -6,11 +6,11 @@
 namespace Lovageloft
 {
 
-/// A store whose calls are counted by name and result, and timed where they were answered. Thread-safe if the store is.
+/// Store wrapper that counts calls by name and result, and measures the time of calls that were answered. Thread-safe if the store is.
 class MeasuredStore final : public Store
 {
 public:
-    /// Both must outlive this object.
+    /// `store` and `metrics` must outlive this object.
     MeasuredStore(Store &store, Metrics &metrics);
 
     std::int64_t era() const override;
@@ -26,7 +26,7 @@
 
 private:
     template <typename Call>
-    auto measured(std::string_view name, Call call);
+    auto recordCall(std::string_view name, Call call);
 
     Store &store_;
     Metrics &metrics_;
--- a/gateway/parallel_calls.h
+++ b/gateway/parallel_calls.h
@@ -6,8 +6,8 @@
 namespace Lovageloft
 {
 
-/// Runs `call` for each number below `count`, all at the same time on threads of their own, and returns when all have ended. For a few calls that
-/// wait for others to answer: one after another, those that answer wait for those that don't.
-void callInParallel(std::size_t count, const std::function<void(std::size_t number)> &call);
+/// Runs `call` for each index below `count` concurrently, each on its own thread, and returns when all calls have ended. Meant for a small
+/// number of blocking network calls: made one after another, calls to peers that answer would wait for calls to peers that do not.
+void callInParallel(std::size_t count, const std::function<void(std::size_t index)> &call);
 
 } // namespace Lovageloft
--- a/gateway/pause_detector.cpp
+++ b/gateway/pause_detector.cpp
@@ -10,32 +10,32 @@
 namespace
 {
 
-/// Twice the time between two looks: less is an ordinary wait for the processor.
-constexpr Duration shortestStandstill = std::chrono::milliseconds(500);
+/// Twice the interval between ticks; shorter gaps are ordinary scheduling delays.
+constexpr Duration minPause = std::chrono::milliseconds(500);
 
-/// For so long after one the threads still take up what came meanwhile.
-constexpr Duration wakeTime = std::chrono::milliseconds(500);
+/// After a pause, the threads may need this long to process what arrived during it.
+constexpr Duration recoveryTime = std::chrono::milliseconds(500);
 
 } // namespace
 
 void PauseDetector::tick(TimePoint now)
 {
-    const auto before = std::exchange(lookedAt_, now);
-    if (before && now - *before > shortestStandstill) {
-        const bool goesOn = *before - endedAt_ < wakeTime; // It was awake too shortly to take up what had come.
-        length_ = now - (goesOn ? endedAt_ - length_ : *before);
-        endedAt_ = now;
-        writeLog(LogLevel::Warning, "host_stood_still", {{"ms", toMillis(length_)}});
+    const auto previousTickAt = std::exchange(lastTickAt_, now);
+    if (previousTickAt && now - *previousTickAt > minPause) {
+        const bool isContinuation = *previousTickAt - pauseEndedAt_ < recoveryTime; // Too short to process what had arrived.
+        pauseDuration_ = now - (isContinuation ? pauseEndedAt_ - pauseDuration_ : *previousTickAt);
+        pauseEndedAt_ = now;
+        writeLog(LogLevel::Warning, "host_stood_still", {{"ms", toMillis(pauseDuration_)}});
     }
 }
 
 Duration PauseDetector::recentPause(TimePoint now) const
 {
-    const Duration since = lookedAt_ ? now - *lookedAt_ : Duration::zero();
-    if (since > shortestStandstill) {
-        return since;
+    const Duration sinceLastTick = lastTickAt_ ? now - *lastTickAt_ : Duration::zero();
+    if (sinceLastTick > minPause) {
+        return sinceLastTick;
     }
-    return now - endedAt_ < wakeTime ? length_ + (now - endedAt_) : Duration::zero();
+    return now - pauseEndedAt_ < recoveryTime ? pauseDuration_ + (now - pauseEndedAt_) : Duration::zero();
 }
 
 } // namespace Lovageloft
--- a/gateway/pause_detector.h
+++ b/gateway/pause_detector.h
@@ -7,23 +7,23 @@
 namespace Lovageloft
 {
 
-/// Tells when the process did nothing for a while, frozen by its machine or without its processor.
+/// Detects pauses of the whole process: the machine was frozen or the process got no CPU time.
 ///
-/// What goes wrong without it: the host takes what it reads when it goes on for news of that moment. Nothing else in its log shows that it
-/// stood still, and what it then does seconds late looks like a fault of its logic. For the event loop only.
+/// Without it, a host takes messages that it reads after a pause for current ones. Nothing else in the log shows the pause, and actions that
+/// come seconds late because of it look like logic errors. For use on the event loop only.
 class PauseDetector
 {
 public:
-    /// To be called a few times a second.
+    /// Must be called a few times a second.
     void tick(TimePoint now);
 
-    /// The time since a standstill began that ends now or ended a moment ago; else zero. Standstills right after one another count as one.
+    /// If a pause ends now or ended a moment ago, the time since it began; otherwise zero. Pauses in quick succession count as one.
     Duration recentPause(TimePoint now) const;
 
 private:
-    std::optional<TimePoint> lookedAt_;
-    TimePoint endedAt_; ///< Of the last one.
-    Duration length_{}; ///< The same.
+    std::optional<TimePoint> lastTickAt_;
+    TimePoint pauseEndedAt_; ///< End of the last pause.
+    Duration pauseDuration_{}; ///< Length of the last pause.
 };
 
 } // namespace Lovageloft
--- a/gateway/protocol.h
+++ b/gateway/protocol.h
@@ -13,40 +13,40 @@
 #include "gateway/routing_table.h"
 #include "gateway/target.h"
 
-/// What differs between the interfaces that callers and targets speak. The pipeline between them is the same for all: a strategy
-/// reads and writes names and formats and decides nothing.
+/// Differences between the protocols of callers and targets. The pipeline between them is the same for all protocols: implementations only
+/// read and write field names and formats, they make no decisions.
 namespace Lovageloft
 {
 
-/// What a caller says in the head of a request.
+/// Contents of the head of a caller's request.
 struct CallerRequest
 {
-    std::string id; ///< The caller's; unique for each of its attempts.
-    std::string key; ///< Never logged and never passed on.
-    std::string model; ///< Empty for a plain service.
+    std::string id; ///< Chosen by the caller; unique for each of its attempts.
+    std::string key; ///< Never logged and never forwarded.
+    std::string model; ///< Empty for a service.
     std::optional<std::uint32_t> promptTokens;
-    std::uint32_t outputTokens = 0; ///< The most it wants.
-    std::vector<PromptPart> parts; ///< In their order.
-    std::optional<Duration> timeout; ///< How long the caller waits from now on.
-    std::string lastEventId; ///< Not empty: go on after this event.
+    std::uint32_t outputTokens = 0; ///< Maximum number of tokens to generate.
+    std::vector<PromptPart> parts; ///< In the order of the prompt.
+    std::optional<Duration> timeout; ///< How long the caller waits, from now.
+    std::string lastEventId; ///< Resume a stream after this event; may be empty.
 };
 
-/// What the gateway adds to a request for one target.
+/// Values that the gateway adds to a request for one target.
 struct TargetRequest
 {
-    std::string_view targetId = {}; ///< Any other target refuses the request.
+    std::string_view targetId = {}; ///< Other targets refuse the request.
     std::string_view team = {}; ///< Empty on public routes.
     std::optional<Duration> timeLeft = std::nullopt;
     std::string_view lastEventId = {};
     bool isForEngine = false;
-    std::int64_t weightsVersion = 0; ///< Engines with another version refuse the request; 0: any.
-    std::string_view cacheSalt = {}; ///< Cache entries are found under the same text only.
-    std::string_view fetchFrom = {}; ///< Address of an engine or store that may hold parts of the prompt; may be empty.
-    std::string_view saveTo = {}; ///< Address of the store that is to keep what is computed; may be empty.
+    std::int64_t weightsVersion = 0; ///< Engines with another version refuse the request; 0 for any version.
+    std::string_view cacheSalt = {}; ///< Cache entries are only found with the same salt.
+    std::string_view fetchFrom = {}; ///< Address of an engine or cache store that may hold cached parts of the prompt; may be empty.
+    std::string_view saveTo = {}; ///< Address of the cache store that saves what the engine computes; may be empty.
     std::optional<int> urgency = std::nullopt; ///< 0 is the most urgent.
 };
 
-/// What a target tells of its load.
+/// The load that a target reports.
 struct TargetLoad
 {
     std::uint32_t running = 0;
@@ -54,48 +54,48 @@
     std::uint32_t slots = 0;
 };
 
-/// What the head of a target's answer says.
+/// Contents of the head of a target's answer.
 struct AnswerFacts
 {
-    std::string requestId; ///< Of the request that it answers.
-    bool isNotExecuted = false; ///< The target promises that the request did not run.
-    bool isTargetMismatch = false; ///< Another target has this address, or it has other weights than were expected.
-    std::string targetId; ///< Where the answer names it.
+    std::string requestId; ///< Of the request that is answered.
+    bool isNotExecuted = false; ///< The target guarantees that it did not execute the request.
+    bool isTargetMismatch = false; ///< The address belongs to another target, or the target has other weights than expected.
+    std::string targetId; ///< Empty if the answer does not name it.
     std::optional<TargetLoad> load;
 };
 
-/// The interface towards callers.
+/// The protocol between callers and the gateway.
 class CallerProtocol
 {
 public:
     virtual ~CallerProtocol() = default;
 
-    /// Reads the head of a request; nothing with a reason if a field can't be read.
+    /// Reads the head of a request. Returns nothing and sets `reason` if a field is invalid.
     virtual std::optional<CallerRequest> read(const HttpHead &head, Reason &reason) const = 0;
 
-    /// The status and whole body of a refusal or failure.
+    /// HTTP status and complete body of the answer to a refused or failed request.
     virtual int statusOf(const Reason &reason, RunState runState) const = 0;
     virtual std::string body(const Reason &reason, RunState runState) const = 0;
 
-    /// The value of the Retry-After field.
+    /// Value of the Retry-After header field.
     virtual std::string retryAfter(Duration wait) const = 0;
 
-    /// The path that the platform's balancer asks.
+    /// Path that the platform's load balancer polls for readiness.
     virtual std::string_view readyPath() const = 0;
 };
 
-/// The interface towards targets.
+/// The protocol between the gateway and targets.
 class TargetProtocol
 {
 public:
     virtual ~TargetProtocol() = default;
 
-    /// The whole head of a request with its empty line, made from the caller's.
+    /// Builds the complete head of a request from the caller's, including the empty line at its end.
     virtual std::string writeHead(const HttpHead &head, const TargetRequest &request, std::size_t bodyBytes) const = 0;
 
     virtual AnswerFacts readAnswer(const HttpHead &head) const = 0;
 
-    /// Header fields of an answer that are for this host alone.
+    /// Whether a header field of an answer is meant for the gateway only and must not be forwarded to the caller.
     virtual bool isPrivateField(std::string_view name) const = 0;
 };
 
--- a/gateway/relayed_store.cpp
+++ b/gateway/relayed_store.cpp
@@ -12,51 +12,53 @@
 namespace
 {
 
-/// Two, so that the loss of one is not noticed.
+/// Two, so that the loss of one has no effect.
 constexpr std::size_t relayCount = 2;
 
-/// With the relays, those who ask the store first when the relays are silent.
-constexpr std::size_t rankedCount = 16;
+/// Relays and deputies: the hosts that call the store first when the relays are silent.
+constexpr std::size_t rankedHostCount = 16;
 
-/// How long a relay may be silent before a host asks others, and before the first in rank ask the store themselves. Relays speak twice a
-/// second; two lost datagrams are no reason to ask, and a change is still known well within the two seconds that operators allow.
-constexpr Duration questionSilence = std::chrono::milliseconds(900);
-constexpr Duration relaySilence = std::chrono::milliseconds(1'300);
+/// How long the relays may be silent before a host queries its peers, and before the highest-ranked hosts call the store themselves. Relays
+/// send twice a second, so two lost datagrams do not cause a query, and a change is still known well within the two seconds that operators
+/// allow.
+constexpr Duration silenceBeforePeerQuery = std::chrono::milliseconds(900);
+constexpr Duration silenceBeforeStoreCall = std::chrono::milliseconds(1'300);
 
-/// For how long a host that is behind asks others only. They answer within some milliseconds.
-constexpr Duration questionTime = relaySilence - questionSilence;
-constexpr Duration questionPause = std::chrono::milliseconds(100);
+/// How long a host that is behind queries only its peers, and how often. They answer within a few milliseconds.
+constexpr Duration peerQueryDuration = silenceBeforeStoreCall - silenceBeforePeerQuery;
+constexpr Duration peerQueryInterval = std::chrono::milliseconds(100);
 
-/// Between two hosts in rank that ask the store, and the rate at which all others may do so. A host of 300 waits a second at most, in which
-/// what the first ones have read reaches it through others.
-constexpr Duration rankPause = std::chrono::milliseconds(10);
-constexpr double asksPerSecond = 300;
+/// Delay between the store calls of two ranked hosts, and the rate of store calls of all other hosts together. In a fleet of 300 a host
+/// waits at most one second, during which peers pass on to it what the ranked hosts have read.
+constexpr Duration delayPerRank = std::chrono::milliseconds(10);
+constexpr double storeCallsPerSecond = 300;
 
-/// While the store is away: the rate of calls of all hosts, and the pause of those that are first in rank, which the others hear from.
+/// While the store is unreachable: the rate of calls of all hosts together, and the longest time for which the breaker of a ranked host
+/// stays open. The other hosts receive changes from the ranked hosts.
 constexpr double failedCallsPerSecond = 100;
-constexpr Duration longestRankedBreak = std::chrono::milliseconds(400);
+constexpr Duration maxRankedOpenDuration = std::chrono::milliseconds(400);
 
-/// How long after the store's last answer to it a relay goes on sending heartbeats. A relay renews its lease and proves its
-/// configuration more often than that. With `relaySilence` the others then watch the store themselves 3.3 s after a cut of both
-/// relays; without this limit it took as long as the cut.
-constexpr Duration oldestContact = std::chrono::seconds(2);
+/// How long a relay keeps sending heartbeats after the store last answered it. A relay renews its lease and confirms its configuration more
+/// often than that. Together with `silenceBeforeStoreCall`, other hosts watch the store themselves 3.3 s after both relays are cut off from
+/// it; without this limit they waited until the cut ended.
+constexpr Duration maxStoreReplyAge = std::chrono::seconds(2);
 
-/// A relay whose last watch was answered longer ago than this waits on a connection that has died: watches last three seconds at most.
-constexpr Duration oldestWatch = std::chrono::milliseconds(4'500);
+/// If a relay's last watch was answered longer ago than this, its connection is dead: watches last at most three seconds.
+constexpr Duration maxWatchReplyAge = std::chrono::milliseconds(4'500);
 
-/// Wait for a relay's proof: hosts of one region answer within 3 ms.
+/// Timeout of a proof request; hosts of one region answer within 3 ms.
 constexpr Duration proofTimeout = std::chrono::milliseconds(60);
 
-/// A question that nobody answered is forgotten.
-constexpr Duration longestQuestion = std::chrono::seconds(2);
+/// Unanswered requests are removed after this time.
+constexpr Duration pendingRequestTimeout = std::chrono::seconds(2);
 
-/// A proof older than this is no help; the store is asked instead.
-constexpr Duration oldestProof = std::chrono::milliseconds(1'500);
+/// Older proofs are ignored and the store is called instead.
+constexpr Duration maxProofAge = std::chrono::milliseconds(1'500);
 
 } // namespace
 
 template <typename Call>
-auto RelayedStore::guarded(Call call)
+auto RelayedStore::callThroughBreaker(Call call)
 {
     {
         const std::lock_guard lock(mutex_);
@@ -68,15 +70,15 @@
     const bool isAnswered = reply.status != StoreStatus::Unavailable && reply.status != StoreStatus::AnswerLost;
     const std::lock_guard lock(mutex_);
     if (isAnswered) {
-        contactAt_ = now_();
+        lastStoreReplyAt_ = now_();
         if (failingSince_) {
-            outageEnd_ = contactAt_;
-            outage_ = contactAt_ - *failingSince_;
+            outageEndedAt_ = lastStoreReplyAt_;
+            outageDuration_ = lastStoreReplyAt_ - *failingSince_;
             failingSince_.reset();
         }
         breaker_.onSuccess();
     } else {
-        failingSince_ = failingSince_.value_or(contactAt_);
+        failingSince_ = failingSince_.value_or(lastStoreReplyAt_);
         breaker_.onFailure(now_());
     }
     return reply;
@@ -99,16 +101,16 @@
 
 void RelayedStore::setHosts(const std::vector<std::string> &hosts, const std::vector<std::string> &candidates)
 {
-    std::vector<std::string> ranked = RendezvousNames(candidates).winners("relay", rankedCount);
+    std::vector<std::string> ranked = RendezvousNames(candidates).winners("relay", rankedHostCount);
     const std::lock_guard lock(mutex_);
     knowsHosts_ = true;
-    others_ = hosts;
-    std::erase(others_, host_);
-    const std::vector<std::string> before(relays().begin(), relays().end());
-    ranked_ = std::move(ranked);
-    breaker_.setMaxOpenDuration(longestBreak());
+    otherHosts_ = hosts;
+    std::erase(otherHosts_, host_);
+    const std::vector<std::string> previousRelays(relays().begin(), relays().end());
+    rankedHosts_ = std::move(ranked);
+    breaker_.setMaxOpenDuration(maxOpenDuration());
     const auto chosen = relays();
-    if (!std::equal(chosen.begin(), chosen.end(), before.begin(), before.end())) {
+    if (!std::equal(chosen.begin(), chosen.end(), previousRelays.begin(), previousRelays.end())) {
         writeLog(LogLevel::Info, "relays_chosen", {{"first", chosen.empty() ? "" : chosen.front()}, {"last", chosen.empty() ? "" : chosen.back()}});
     }
 }
@@ -119,26 +121,27 @@
     return isAmongRelays();
 }
 
-/// The first in rank.
+/// The highest-ranked hosts.
 std::span<const std::string> RelayedStore::relays() const
 {
-    return std::span(ranked_).first(std::min(ranked_.size(), relayCount));
+    return std::span(rankedHosts_).first(std::min(rankedHosts_.size(), relayCount));
 }
 
-/// With no hosts to choose among each host is its own relay.
+/// Without candidates, each host is its own relay.
 bool RelayedStore::isAmongRelays() const
 {
     const auto chosen = relays();
     return chosen.empty() || std::find(chosen.begin(), chosen.end(), host_) != chosen.end();
 }
 
-bool RelayedStore::isDeputy() const
+bool RelayedStore::isRankedHost() const
 {
-    return std::find(ranked_.begin(), ranked_.end(), host_) != ranked_.end();
+    return std::find(rankedHosts_.begin(), rankedHosts_.end(), host_) != rankedHosts_.end();
 }
 
-/// A host that doesn't know the others yet waits for them: they are known within some calls, and a watch of its own would be one more.
-bool RelayedStore::watchesItself() const
+/// A host that does not know the other hosts yet does not watch the store: it learns of them within a few calls, and a watch would be an
+/// additional one.
+bool RelayedStore::watchesStoreDirectly() const
 {
     const std::lock_guard lock(mutex_);
     return knowsHosts_ && isAmongRelays();
@@ -147,144 +150,145 @@
 void RelayedStore::onNotice(const ChangesNotice &notice)
 {
     const std::lock_guard lock(mutex_);
-    const auto found = followed_.find(notice.prefix);
-    if (found == followed_.end() || found->second.reached == 0) {
-        return; // Nobody watches it yet; the list comes first.
+    const auto found = prefixes_.find(notice.prefix);
+    if (found == prefixes_.end() || found->second.syncedRevision == 0) {
+        return; // The prefix has not been listed yet.
     }
-    FollowedPrefix &followed = found->second;
+    PrefixState &state = found->second;
     const TimePoint now = now_();
-    const bool isBetween = notice.latestStart < followed.reached && followed.reached < notice.upTo;
-    if (notice.after > followed.reached || isBetween) {
-        noteMissing(notice.prefix, followed, notice.upTo, now);
-    } else if (notice.upTo >= followed.reached) {
-        followed.takeNotice(notice, now);
-        followed.heardAt = now;
-        breaker_.onPeersAnswered(now, askWindow());
-        noteBehind(notice.prefix, followed, now);
+    const bool isInsideCoalescedRange = notice.latestStart < state.syncedRevision && state.syncedRevision < notice.upTo;
+    if (notice.after > state.syncedRevision || isInsideCoalescedRange) {
+        recordGap(notice.prefix, state, notice.upTo, now);
+    } else if (notice.upTo >= state.syncedRevision) {
+        state.applyNotice(notice, now);
+        state.lastHeardAt = now;
+        breaker_.onPeersAnswered(now, storeCallWindow());
+        updateBehindState(notice.prefix, state, now);
     }
-    heard_.notify_all();
+    updateArrived_.notify_all();
 }
 
 void RelayedStore::onChangesReply(const ChangesReply &reply)
 {
     const std::lock_guard lock(mutex_);
-    const auto question = changesQuestions_.find(reply.id);
-    if (question == changesQuestions_.end()) {
+    const auto pendingRequest = pendingChangesRequests_.find(reply.id);
+    if (pendingRequest == pendingChangesRequests_.end()) {
         return;
     }
-    const auto found = followed_.find(question->second.prefix);
-    const bool isFollowed = found != followed_.end() && found->second.reached != 0 && found->first == reply.changes.prefix;
-    if (!isFollowed || reply.changes.after != found->second.reached) {
+    const auto found = prefixes_.find(pendingRequest->second.prefix);
+    const bool isFollowed = found != prefixes_.end() && found->second.syncedRevision != 0 && found->first == reply.changes.prefix;
+    if (!isFollowed || reply.changes.after != found->second.syncedRevision) {
         return;
     }
-    FollowedPrefix &followed = found->second;
+    PrefixState &state = found->second;
     const TimePoint now = now_();
-    followed.takeNotice(reply.changes, now);
-    if (!isDeputy()) {
-        followed.heardAt = std::max(followed.heardAt, question->second.sentAt - reply.age);
+    state.applyNotice(reply.changes, now);
+    if (!isRankedHost()) {
+        state.lastHeardAt = std::max(state.lastHeardAt, pendingRequest->second.sentAt - reply.age);
     }
-    noteBehind(found->first, followed, now);
-    heard_.notify_all();
+    updateBehindState(found->first, state, now);
+    updateArrived_.notify_all();
 }
 
 std::optional<ChangesReply> RelayedStore::changesFor(const ChangesRequest &request) const
 {
     const std::lock_guard lock(mutex_);
-    const auto found = followed_.find(request.prefix);
-    if (found == followed_.end() || found->second.reached == 0 || found->second.reached < request.after) {
+    const auto found = prefixes_.find(request.prefix);
+    if (found == prefixes_.end() || found->second.syncedRevision == 0 || found->second.syncedRevision < request.after) {
         return std::nullopt;
     }
-    const FollowedPrefix &followed = found->second;
-    auto entries = followed.log.since(request.after);
+    const PrefixState &state = found->second;
+    auto entries = state.log.since(request.after);
     if (!entries) {
         return std::nullopt;
     }
     const TimePoint now = now_();
-    const bool isToldByStore = followed.isWatched && hasRecentAnswers(followed, now);
-    const Duration age = isToldByStore ? Duration::zero() : std::max(Duration::zero(), now - newsAt(followed));
+    const bool isUpdatedByStore = state.hasOpenWatch && hasRecentStoreReplies(state, now);
+    const Duration age = isUpdatedByStore ? Duration::zero() : std::max(Duration::zero(), now - lastUpdateAt(state));
     return ChangesReply{
-        request.id, {request.prefix, request.after, followed.reached, std::move(*entries), {}, followed.silence, request.after, followed.outage}, age};
+        request.id, {request.prefix, request.after, state.syncedRevision, std::move(*entries), {}, state.silence, request.after, state.outage}, age};
 }
 
-/// Whether the store has answered of late, any call and one about this prefix. What other hosts say doesn't count: two that are cut off would keep
-/// each other going.
-bool RelayedStore::hasRecentAnswers(const FollowedPrefix &followed, TimePoint now) const
+/// Whether the store has recently answered any call, and a list or watch of this prefix. Messages from other hosts do not count: two relays
+/// that are cut off from the store would otherwise keep each other sending.
+bool RelayedStore::hasRecentStoreReplies(const PrefixState &state, TimePoint now) const
 {
-    return now - contactAt_ < oldestContact && now - followed.readAt < oldestWatch;
+    return now - lastStoreReplyAt_ < maxStoreReplyAge && now - state.lastReadAt < maxWatchReplyAge;
 }
 
-/// For how long the store was away after a prefix was read last; zero if it wasn't. A watch that was cut while other calls were answered is no
-/// outage: entries that are gone then have not lapsed.
-Duration RelayedStore::outageSince(TimePoint readAt) const
+/// Length of the last outage of the store that ended after a prefix was last read; zero if there was none. A watch that was cut while other
+/// calls were answered is not an outage: entries that are gone after it were deleted and did not expire.
+Duration RelayedStore::outageSince(TimePoint lastReadAt) const
 {
-    return outageEnd_ > readAt ? outage_ : Duration::zero();
+    return outageEndedAt_ > lastReadAt ? outageDuration_ : Duration::zero();
 }
 
-/// Until when this host has heard of all changes. A deputy that the relays are silent for goes on watching the store, as they do.
-TimePoint RelayedStore::newsAt(const FollowedPrefix &followed) const
+/// Until when this host is known to have received all changes. Own reads of a ranked host do not count, so that a deputy keeps watching the
+/// store, as the relays do, while it does not hear from them.
+TimePoint RelayedStore::lastUpdateAt(const PrefixState &state) const
 {
-    return isDeputy() ? followed.heardAt : std::max(followed.heardAt, followed.readAt);
+    return isRankedHost() ? state.lastHeardAt : std::max(state.lastHeardAt, state.lastReadAt);
 }
 
-bool RelayedStore::isBehind(const FollowedPrefix &followed, TimePoint now) const
+bool RelayedStore::isBehind(const PrefixState &state, TimePoint now) const
 {
-    return followed.needed > followed.reached || now - newsAt(followed) >= questionSilence;
+    return state.requiredRevision > state.syncedRevision || now - lastUpdateAt(state) >= silenceBeforePeerQuery;
 }
 
-/// Begins or ends the search for what is missing. Without other hosts to ask, as in a fleet of one, the store is asked at once.
-void RelayedStore::noteBehind(std::string_view prefix, FollowedPrefix &followed, TimePoint now)
+/// Starts or ends catching up. Without peers to query, as in a fleet of one, the store is called immediately for missing changes.
+void RelayedStore::updateBehindState(std::string_view prefix, PrefixState &state, TimePoint now)
 {
-    if (!isBehind(followed, now)) {
-        followed.behindSince.reset();
+    if (!isBehind(state, now)) {
+        state.behindSince.reset();
         return;
     }
-    if (!followed.behindSince) {
-        followed.behindSince = now;
-        const bool canAsk = network_.askChanges && !others_.empty();
-        const bool isMissing = followed.needed > followed.reached;
-        const Duration wait = canAsk ? questionTime + storeDelay() : (isMissing ? Duration::zero() : questionTime);
-        followed.storeAt = now + wait;
-        followed.questionAt = now;
-        writeLog(LogLevel::Debug, "host_behind", {{"prefix", prefix}, {"reached", followed.reached}, {"needed", followed.needed}});
+    if (!state.behindSince) {
+        state.behindSince = now;
+        const bool canAsk = network_.sendChangesRequest && !otherHosts_.empty();
+        const bool isMissing = state.requiredRevision > state.syncedRevision;
+        const Duration wait = canAsk ? peerQueryDuration + storeCallDelay() : (isMissing ? Duration::zero() : peerQueryDuration);
+        state.storeCallAllowedAt = now + wait;
+        state.nextPeerQueryAt = now;
+        writeLog(LogLevel::Debug, "host_behind", {{"prefix", prefix}, {"reached", state.syncedRevision}, {"needed", state.requiredRevision}});
     }
 }
 
-/// A change up to this revision was made and has not come.
-void RelayedStore::noteMissing(std::string_view prefix, FollowedPrefix &followed, std::int64_t revision, TimePoint now)
+/// Records that a change with a revision up to `revision` exists and has not been received.
+void RelayedStore::recordGap(std::string_view prefix, PrefixState &state, std::int64_t revision, TimePoint now)
 {
-    followed.needed = std::max(followed.needed, revision);
-    noteBehind(prefix, followed, now);
+    state.requiredRevision = std::max(state.requiredRevision, revision);
+    updateBehindState(prefix, state, now);
 }
 
-/// A small fleet is no burden to a store that is away, and its hosts are to know at once when it is back.
-Duration RelayedStore::longestBreak() const
+/// Zero in a small fleet: its calls are no burden to a store that is recovering, and its hosts should detect immediately that it is back.
+Duration RelayedStore::maxOpenDuration() const
 {
-    if (others_.size() < rankedCount) {
+    if (otherHosts_.size() < rankedHostCount) {
         return {};
     }
-    return isDeputy() ? longestRankedBreak : fromSeconds(static_cast<double>(others_.size()) / failedCallsPerSecond);
+    return isRankedHost() ? maxRankedOpenDuration : fromSeconds(static_cast<double>(otherHosts_.size()) / failedCallsPerSecond);
 }
 
-/// In which all hosts may ask the store at the rate that is meant for it.
-Duration RelayedStore::askWindow() const
+/// Time over which all hosts may call the store once without exceeding `storeCallsPerSecond`.
+Duration RelayedStore::storeCallWindow() const
 {
-    return fromSeconds(static_cast<double>(others_.size()) / asksPerSecond);
+    return fromSeconds(static_cast<double>(otherHosts_.size()) / storeCallsPerSecond);
 }
 
-Duration RelayedStore::storeDelay()
+Duration RelayedStore::storeCallDelay()
 {
-    const auto place = std::find(ranked_.begin(), ranked_.end(), host_);
-    const Duration ofRank = rankPause * (place - ranked_.begin());
-    return place != ranked_.end() ? ofRank : ofRank + randomUpTo(random_, askWindow());
+    const auto position = std::find(rankedHosts_.begin(), rankedHosts_.end(), host_);
+    const Duration rankDelay = delayPerRank * (position - rankedHosts_.begin());
+    return position != rankedHosts_.end() ? rankDelay : rankDelay + randomUpTo(random_, storeCallWindow());
 }
 
 void RelayedStore::onProofReply(const ProofReply &reply)
 {
     const std::lock_guard lock(mutex_);
-    const auto question = questions_.find(reply.id);
-    if (question != questions_.end()) {
-        question->second = reply;
-        heard_.notify_all();
+    const auto pendingRequest = pendingProofRequests_.find(reply.id);
+    if (pendingRequest != pendingProofRequests_.end()) {
+        pendingRequest->second = reply;
+        updateArrived_.notify_all();
     }
 }
 
@@ -296,9 +300,9 @@
         const std::lock_guard lock(mutex_);
         broadcast = network_.broadcast;
         const TimePoint now = now_();
-        for (const auto &[prefix, followed] : followed_) {
-            if (hasRecentAnswers(followed, now)) {
-                notices.push_back({prefix, followed.lastChange, followed.reached, {}, {}, {}});
+        for (const auto &[prefix, state] : prefixes_) {
+            if (hasRecentStoreReplies(state, now)) {
+                notices.push_back({prefix, state.lastChangeRevision, state.syncedRevision, {}, {}, {}});
             }
         }
     }
@@ -309,50 +313,51 @@
 
 StoreReply RelayedStore::get(std::string_view key)
 {
-    return guarded([&] { return ForwardingStore::get(key); });
+    return callThroughBreaker([&] { return ForwardingStore::get(key); });
 }
 
 StoreReply RelayedStore::confirm(std::string_view key, std::int64_t revision)
 {
-    for (const std::string &host : hostsWithProofs()) {
-        const auto reply = askForProof(host);
-        if (!reply || reply->age > oldestProof || reply->revision < revision) {
+    for (const std::string &host : proofSources()) {
+        const auto reply = queryProof(host);
+        if (!reply || reply->age > maxProofAge || reply->revision < revision) {
             continue;
         }
-        const bool isSame = reply->revision == revision;
-        if (!isSame) {
-            needRevision(key, reply->revision);
+        const bool isSameRevision = reply->revision == revision;
+        if (!isSameRevision) {
+            requireRevision(key, reply->revision);
         }
-        return {isSame ? StoreStatus::Ok : StoreStatus::Conflict, {std::string(key), {}, reply->revision, false}, reply->age};
+        return {isSameRevision ? StoreStatus::Ok : StoreStatus::Conflict, {std::string(key), {}, reply->revision, false}, reply->age};
     }
-    return guarded([&] { return ForwardingStore::confirm(key, revision); });
+    return callThroughBreaker([&] { return ForwardingStore::confirm(key, revision); });
 }
 
-/// A newer revision of a key exists: whoever follows its prefix has missed a change.
-void RelayedStore::needRevision(std::string_view key, std::int64_t revision)
+/// Called when a newer revision of a key exists: each followed prefix that contains the key has missed a change.
+void RelayedStore::requireRevision(std::string_view key, std::int64_t revision)
 {
     const std::lock_guard lock(mutex_);
-    for (auto &[prefix, followed] : followed_) {
-        if (key.starts_with(prefix) && followed.reached != 0) {
-            noteMissing(prefix, followed, revision, now_());
+    for (auto &[prefix, state] : prefixes_) {
+        if (key.starts_with(prefix) && state.syncedRevision != 0) {
+            recordGap(prefix, state, revision, now_());
         }
     }
-    heard_.notify_all();
+    updateArrived_.notify_all();
 }
 
-/// The relays, and if they don't answer one of the deputies and any other host. None on a relay, which asks the store.
-std::vector<std::string> RelayedStore::hostsWithProofs()
+/// Hosts to request a proof from, in order: the relays, then a random ranked host and a random host. Empty on a relay, which calls the
+/// store.
+std::vector<std::string> RelayedStore::proofSources()
 {
     if (isRelay()) {
         return {};
     }
     const std::lock_guard lock(mutex_);
     std::vector<std::string> hosts(relays().begin(), relays().end());
-    // Half of the hosts ask each relay first.
+    // Each relay is the first choice of half of the hosts.
     if (hosts.size() > 1 && randomBelow(random_, 2) == 0) {
         std::swap(hosts.front(), hosts.back());
     }
-    for (const std::string &host : hostsToAsk()) {
+    for (const std::string &host : hostsToQuery()) {
         if (std::find(hosts.begin(), hosts.end(), host) == hosts.end()) {
             hosts.push_back(host);
         }
@@ -362,25 +367,25 @@
 
 StoreListReply RelayedStore::list(std::string_view prefix)
 {
-    StoreListReply reply = guarded([&] { return ForwardingStore::list(prefix); });
+    StoreListReply reply = callThroughBreaker([&] { return ForwardingStore::list(prefix); });
     if (reply.status != StoreStatus::Ok) {
         return reply;
     }
     const bool isRelayNow = isRelay();
     std::unique_lock lock(mutex_);
-    FollowedPrefix &followed = followed_[std::string(prefix)];
+    PrefixState &state = prefixes_[std::string(prefix)];
     const TimePoint now = now_();
-    reply.outage = outageSince(followed.readAt);
+    reply.outage = outageSince(state.lastReadAt);
     std::optional<ChangesNotice> changes;
-    if (followed.reached != 0 && followed.reached <= reply.revision) {
-        changes = followed.changesBy(reply);
+    if (state.syncedRevision != 0 && state.syncedRevision <= reply.revision) {
+        changes = state.changesInList(reply);
         changes->prefix = prefix;
-        changes->silence = now - followed.readAt;
+        changes->silence = now - state.lastReadAt;
         changes->outage = reply.outage;
     }
-    followed.takeList(reply, changes);
-    followed.heardAt = now;
-    followed.readAt = now;
+    state.applyList(reply, changes);
+    state.lastHeardAt = now;
+    state.lastReadAt = now;
     const auto broadcast = network_.broadcast;
     lock.unlock();
     if (isRelayNow && changes && broadcast) {
@@ -391,44 +396,44 @@
 
 StoreListReply RelayedStore::watch(std::string_view prefix, std::int64_t afterRevision, Duration timeout)
 {
-    if (watchesItself()) {
+    if (watchesStoreDirectly()) {
         return watchStore(prefix, afterRevision, timeout);
     }
     std::unique_lock lock(mutex_);
-    FollowedPrefix &followed = followed_[std::string(prefix)];
+    PrefixState &state = prefixes_[std::string(prefix)];
     const TimePoint calledAt = now_();
-    const TimePoint limit = calledAt + timeout;
-    while (followed.entries.empty()) {
+    const TimePoint deadline = calledAt + timeout;
+    while (state.pendingEntries.empty()) {
         const TimePoint now = now_();
-        noteBehind(prefix, followed, now);
-        noteSilence(prefix, followed, now);
-        const bool asksStore = followed.behindSince && now >= followed.storeAt;
-        if (asksStore && followed.needed <= followed.reached) {
+        updateBehindState(prefix, state, now);
+        updateRelaySilence(prefix, state, now);
+        const bool mayCallStore = state.behindSince && now >= state.storeCallAllowedAt;
+        if (mayCallStore && state.requiredRevision <= state.syncedRevision) {
             lock.unlock();
-            return watchStore(prefix, afterRevision, std::min(timeout, relaySilence));
+            return watchStore(prefix, afterRevision, std::min(timeout, silenceBeforeStoreCall));
         }
-        if (followed.behindSince && !asksStore && now >= followed.questionAt) {
-            followed.questionAt = now + questionPause;
-            askForChanges(prefix, followed.reached, lock);
+        if (state.behindSince && !mayCallStore && now >= state.nextPeerQueryAt) {
+            state.nextPeerQueryAt = now + peerQueryInterval;
+            queryChanges(prefix, state.syncedRevision, lock);
             continue;
         }
-        if (asksStore || now >= limit) {
+        if (mayCallStore || now >= deadline) {
             break;
         }
-        constexpr Duration look = std::chrono::milliseconds(300);
-        heard_.wait_for(lock, std::min(followed.behindSince ? questionPause / 2 : look, limit - now));
+        constexpr Duration maxWait = std::chrono::milliseconds(300);
+        updateArrived_.wait_for(lock, std::min(state.behindSince ? peerQueryInterval / 2 : maxWait, deadline - now));
     }
-    const Duration age = std::max(Duration::zero(), calledAt - followed.heardAt);
-    StoreListReply reply = takeHeard(followed, lock);
+    const Duration age = std::max(Duration::zero(), calledAt - state.lastHeardAt);
+    StoreListReply reply = consumePendingEntries(state, lock);
     reply.age = age;
     return reply;
 }
 
-/// Two hosts that may know more: one of the first in rank, which ask the store before others do, and any.
-std::vector<std::string> RelayedStore::hostsToAsk()
+/// Up to two hosts that may have newer changes: a random ranked host, as these call the store before others, and a random host.
+std::vector<std::string> RelayedStore::hostsToQuery()
 {
     std::vector<std::string> hosts;
-    for (const std::vector<std::string> *group : {&ranked_, &others_}) {
+    for (const std::vector<std::string> *group : {&rankedHosts_, &otherHosts_}) {
         if (group->empty()) {
             continue;
         }
@@ -440,33 +445,33 @@
     return hosts;
 }
 
-void RelayedStore::askForChanges(std::string_view prefix, std::int64_t reached, std::unique_lock<std::mutex> &lock)
+void RelayedStore::queryChanges(std::string_view prefix, std::int64_t syncedRevision, std::unique_lock<std::mutex> &lock)
 {
     const TimePoint now = now_();
-    std::erase_if(changesQuestions_, [now](const auto &question) { return now - question.second.sentAt > longestQuestion; });
-    const std::uint64_t id = ++lastQuestion_;
-    const std::vector<std::string> hosts = hostsToAsk();
-    const auto ask = network_.askChanges;
-    if (!ask || hosts.empty()) {
+    std::erase_if(pendingChangesRequests_, [now](const auto &pendingRequest) { return now - pendingRequest.second.sentAt > pendingRequestTimeout; });
+    const std::uint64_t id = ++lastRequestId_;
+    const std::vector<std::string> hosts = hostsToQuery();
+    const auto send = network_.sendChangesRequest;
+    if (!send || hosts.empty()) {
         return;
     }
-    changesQuestions_[id] = {std::string(prefix), now};
+    pendingChangesRequests_[id] = {std::string(prefix), now};
     lock.unlock();
     for (const std::string &host : hosts) {
-        ask(host, {id, std::string(prefix), reached});
+        send(host, {id, std::string(prefix), syncedRevision});
     }
     lock.lock();
 }
 
-StoreListReply RelayedStore::takeHeard(FollowedPrefix &followed, std::unique_lock<std::mutex> &lock)
+StoreListReply RelayedStore::consumePendingEntries(PrefixState &state, std::unique_lock<std::mutex> &lock)
 {
-    if (followed.entries.empty() && followed.needed > followed.reached && now_() >= followed.storeAt) {
-        writeLog(LogLevel::Info, "notice_missed", {{"reached", followed.reached}, {"needed", followed.needed}});
-        return {StoreStatus::NotFound, {}, followed.reached};
+    if (state.pendingEntries.empty() && state.requiredRevision > state.syncedRevision && now_() >= state.storeCallAllowedAt) {
+        writeLog(LogLevel::Info, "notice_missed", {{"reached", state.syncedRevision}, {"needed", state.requiredRevision}});
+        return {StoreStatus::NotFound, {}, state.syncedRevision};
     }
-    StoreListReply reply{StoreStatus::Ok, {}, followed.reached, std::exchange(followed.silence, {})};
-    reply.outage = std::exchange(followed.outage, {});
-    const auto entries = std::exchange(followed.entries, {});
+    StoreListReply reply{StoreStatus::Ok, {}, state.syncedRevision, std::exchange(state.silence, {})};
+    reply.outage = std::exchange(state.outage, {});
+    const auto entries = std::exchange(state.pendingEntries, {});
     lock.unlock();
     for (const auto &[entry, isOmitted] : entries) {
         reply.entries.push_back(entry);
@@ -477,7 +482,7 @@
         if (read.status == StoreStatus::Ok) {
             reply.entries.back() = std::move(read.entry);
         } else {
-            // Gone meanwhile or not to be had: the whole list tells.
+            // The key was deleted meanwhile or could not be read. NotFound makes the caller list the prefix.
             return {StoreStatus::NotFound, {}, reply.revision};
         }
     }
@@ -486,87 +491,87 @@
 
 StoreListReply RelayedStore::watchStore(std::string_view prefix, std::int64_t afterRevision, Duration timeout)
 {
-    const TimePoint askedAt = now_();
-    setWatched(prefix, true);
-    StoreListReply reply = guarded([&] { return ForwardingStore::watch(prefix, afterRevision, timeout); });
+    const TimePoint calledAt = now_();
+    setOpenWatch(prefix, true);
+    StoreListReply reply = callThroughBreaker([&] { return ForwardingStore::watch(prefix, afterRevision, timeout); });
     if (reply.status != StoreStatus::Ok) {
-        setWatched(prefix, false);
+        setOpenWatch(prefix, false);
         return reply;
     }
     const bool isRelayNow = isRelay();
     decltype(Network::broadcast) broadcast;
-    std::int64_t lastChange = 0;
+    std::int64_t lastChangeRevision = 0;
     {
         const std::lock_guard lock(mutex_);
-        FollowedPrefix &followed = followed_[std::string(prefix)];
-        // The store's revision moves with every key. A notice that began at the last watch's revision would look like a gap to hosts
-        // that were not told of the quiet time in between.
-        lastChange = std::min(followed.lastChange, afterRevision);
-        followed.takeWatch(reply);
-        followed.isWatched = isRelayNow;
-        // A relay doesn't go by what the other says: with silent connections to the store the two would vouch for each other.
-        const TimePoint heardAt = isRelayNow ? followed.readAt : std::max(followed.heardAt, followed.readAt);
-        reply.silence = std::max(Duration::zero(), askedAt - heardAt);
-        reply.outage = outageSince(followed.readAt);
-        followed.readAt = now_();
-        followed.heardAt = isRelayNow ? followed.readAt : followed.heardAt;
+        PrefixState &state = prefixes_[std::string(prefix)];
+        // The store's revision increases with writes to any key. A notice that started at the revision of the last watch would look like a
+        // gap to hosts that have not heard of the revisions without changes in between.
+        lastChangeRevision = std::min(state.lastChangeRevision, afterRevision);
+        state.applyWatch(reply);
+        state.hasOpenWatch = isRelayNow;
+        // A relay ignores what the other relay reports: if both have dead connections to the store, they would confirm each other.
+        const TimePoint lastHeardAt = isRelayNow ? state.lastReadAt : std::max(state.lastHeardAt, state.lastReadAt);
+        reply.silence = std::max(Duration::zero(), calledAt - lastHeardAt);
+        reply.outage = outageSince(state.lastReadAt);
+        state.lastReadAt = now_();
+        state.lastHeardAt = isRelayNow ? state.lastReadAt : state.lastHeardAt;
         broadcast = network_.broadcast;
     }
     if (isRelayNow && !reply.entries.empty() && broadcast) {
-        ChangesNotice notice{std::string(prefix), lastChange, reply.revision, reply.entries, {}, reply.silence};
+        ChangesNotice notice{std::string(prefix), lastChangeRevision, reply.revision, reply.entries, {}, reply.silence};
         notice.outage = reply.outage;
         broadcast(notice);
     }
     return reply;
 }
 
-void RelayedStore::setWatched(std::string_view prefix, bool isWatched)
+void RelayedStore::setOpenWatch(std::string_view prefix, bool hasOpenWatch)
 {
     const std::lock_guard lock(mutex_);
-    followed_[std::string(prefix)].isWatched = isWatched;
+    prefixes_[std::string(prefix)].hasOpenWatch = hasOpenWatch;
 }
 
-void RelayedStore::noteSilence(std::string_view prefix, FollowedPrefix &followed, TimePoint now)
+void RelayedStore::updateRelaySilence(std::string_view prefix, PrefixState &state, TimePoint now)
 {
-    const bool isSilent = now - followed.heardAt >= relaySilence;
-    if (isSilent != followed.isSilent) {
-        followed.isSilent = isSilent;
+    const bool areRelaysSilent = now - state.lastHeardAt >= silenceBeforeStoreCall;
+    if (areRelaysSilent != state.areRelaysSilent) {
+        state.areRelaysSilent = areRelaysSilent;
         writeLog(LogLevel::Info,
-                 isSilent ? "relays_silent" : "relays_heard",
-                 {{"prefix", prefix}, {"reached", followed.reached}, {"silent_ms", toMillis(now - followed.heardAt)}});
+                 areRelaysSilent ? "relays_silent" : "relays_heard",
+                 {{"prefix", prefix}, {"reached", state.syncedRevision}, {"silent_ms", toMillis(now - state.lastHeardAt)}});
     }
 }
 
-std::optional<ProofReply> RelayedStore::askForProof(const std::string &host)
+std::optional<ProofReply> RelayedStore::queryProof(const std::string &host)
 {
     std::unique_lock lock(mutex_);
-    const std::uint64_t id = ++lastQuestion_;
-    questions_[id] = std::nullopt;
-    const auto ask = network_.ask;
+    const std::uint64_t id = ++lastRequestId_;
+    pendingProofRequests_[id] = std::nullopt;
+    const auto send = network_.sendProofRequest;
     lock.unlock();
-    if (ask) {
-        ask(host, {id});
+    if (send) {
+        send(host, {id});
     }
     lock.lock();
-    heard_.wait_for(lock, proofTimeout, [&] { return questions_.at(id).has_value(); });
-    const auto reply = questions_.at(id);
-    questions_.erase(id);
+    updateArrived_.wait_for(lock, proofTimeout, [&] { return pendingProofRequests_.at(id).has_value(); });
+    const auto reply = pendingProofRequests_.at(id);
+    pendingProofRequests_.erase(id);
     return reply;
 }
 
 StoreLeaseReply RelayedStore::keepAlive(std::int64_t leaseId)
 {
-    return guarded([&] { return ForwardingStore::keepAlive(leaseId); });
+    return callThroughBreaker([&] { return ForwardingStore::keepAlive(leaseId); });
 }
 
 StoreLeaseReply RelayedStore::grantLease(Duration timeToLive)
 {
-    return guarded([&] { return ForwardingStore::grantLease(timeToLive); });
+    return callThroughBreaker([&] { return ForwardingStore::grantLease(timeToLive); });
 }
 
 StoreReply RelayedStore::compareAndSwap(std::string_view key, std::int64_t expectedRevision, std::string_view value, std::int64_t leaseId)
 {
-    return guarded([&] { return ForwardingStore::compareAndSwap(key, expectedRevision, value, leaseId); });
+    return callThroughBreaker([&] { return ForwardingStore::compareAndSwap(key, expectedRevision, value, leaseId); });
 }
 
 } // namespace Lovageloft
--- a/gateway/relayed_store.h
+++ b/gateway/relayed_store.h
@@ -13,33 +13,34 @@
 #include "coordination/circuit_breaker.h"
 #include "coordination/forwarding_store.h"
 #include "core/random.h"
-#include "gateway/followed_prefix.h"
 #include "gateway/peer_socket.h"
+#include "gateway/prefix_state.h"
 
 namespace Lovageloft
 {
 
-/// The store as a host sees it that lets two hosts of the fleet, the relays, watch for all.
+/// A store client for hosts of a fleet in which two hosts, the relays, watch the store and broadcast its changes to all others.
 ///
-/// The load it is made for: hundreds of hosts before a store whose rates grow more slowly than the fleet. With relays the number of calls hardly
-/// depends on the fleet's size. Nothing is believed on hearsay: a notice continues the revision that this host has reached; a proof counts from the sending
-/// of the question less the age that the other host states.
+/// Designed for fleets of hundreds of hosts with a store whose rate limits grow more slowly than the fleet. With relays, the number of store
+/// calls hardly depends on the fleet's size. Information from peers is checked: a notice is applied only if it continues the revision that this host has
+/// synced to, and a proof counts from the time at which its request was sent, minus the age that the peer reports.
 ///
-/// A host that missed a notice or hears from no relay asks other hosts for what it lacks, and only then the store, after a delay that
-/// depends on its rank and on the size of the fleet: what cuts off hundreds of hosts at once must not make them all ask at once. The
-/// deputies, which are first in rank, go by the relays and the store alone, so that others always find somebody who has asked.
+/// A host that missed a notice or hears from no relay first asks peers for the missing changes. It calls the store only after a delay that
+/// depends on its rank and on the size of the fleet, so that a fault that cuts off hundreds of hosts does not make them all call the store
+/// at once. The deputies, which come next in rank after the relays, rely on the relays and the store alone, so that other hosts always find
+/// a peer that has called the store.
 ///
-/// Watches and proofs are called by duties and block; `onNotice`, `onChangesReply`, `changesFor` and `onProofReply` come from the event
-/// loop. Thread-safe.
+/// Duties call watch() and confirm(), which block. The event loop calls onNotice(), onChangesReply(), changesFor() and onProofReply().
+/// Thread-safe.
 class RelayedStore final : public ForwardingStore
 {
 public:
-    /// What the event loop does for this object.
+    /// Sends messages to other hosts on the event loop.
     struct Network
     {
         std::function<void(const ChangesNotice &)> broadcast;
-        std::function<void(const std::string &host, const ProofRequest &)> ask;
-        std::function<void(const std::string &host, const ChangesRequest &)> askChanges{};
+        std::function<void(const std::string &host, const ProofRequest &)> sendProofRequest;
+        std::function<void(const std::string &host, const ChangesRequest &)> sendChangesRequest{};
     };
 
     using Now = std::function<TimePoint()>;
@@ -48,7 +49,7 @@
 
     void setNetwork(Network network);
 
-    /// All hosts, with this one, and those of them among which the relays and deputies are chosen.
+    /// `hosts` are all hosts including this one; the relays and deputies are chosen from `candidates`.
     void setHosts(const std::vector<std::string> &hosts, const std::vector<std::string> &candidates);
 
     bool isRelay() const;
@@ -56,12 +57,12 @@
     void onNotice(const ChangesNotice &notice);
     void onChangesReply(const ChangesReply &reply);
 
-    /// What another host asked for; nothing if this one doesn't know it.
+    /// The changes that another host requested, or nothing if this host does not have them.
     std::optional<ChangesReply> changesFor(const ChangesRequest &request) const;
 
     void onProofReply(const ProofReply &reply);
 
-    /// On a relay: tells the others how far it has come, by which they also notice what they missed.
+    /// On a relay: broadcasts the revision that it has synced to. From it, other hosts also detect missed notices.
     void sendHeartbeat();
 
     StoreReply get(std::string_view key) override;
@@ -73,58 +74,58 @@
     StoreLeaseReply keepAlive(std::int64_t leaseId) override;
 
 private:
-    /// A question to other hosts that waits for its answers.
-    struct ChangesQuestion
+    /// A request to other hosts that is waiting for replies.
+    struct PendingChangesRequest
     {
         std::string prefix;
         TimePoint sentAt;
     };
 
-    /// Makes a call to the store unless it failed a moment ago, and notes whether it answered.
+    /// Calls the store if the circuit breaker is closed, and records whether the store answered.
     template <typename Call>
-    auto guarded(Call call);
+    auto callThroughBreaker(Call call);
 
     StoreListReply watchStore(std::string_view prefix, std::int64_t afterRevision, Duration timeout);
-    StoreListReply takeHeard(FollowedPrefix &followed, std::unique_lock<std::mutex> &lock);
+    StoreListReply consumePendingEntries(PrefixState &state, std::unique_lock<std::mutex> &lock);
     std::span<const std::string> relays() const;
     bool isAmongRelays() const;
-    bool isDeputy() const;
-    bool watchesItself() const;
-    bool hasRecentAnswers(const FollowedPrefix &followed, TimePoint now) const;
-    Duration outageSince(TimePoint readAt) const;
-    TimePoint newsAt(const FollowedPrefix &followed) const;
-    bool isBehind(const FollowedPrefix &followed, TimePoint now) const;
-    void noteBehind(std::string_view prefix, FollowedPrefix &followed, TimePoint now);
-    void noteMissing(std::string_view prefix, FollowedPrefix &followed, std::int64_t revision, TimePoint now);
-    Duration askWindow() const;
-    Duration storeDelay();
-    Duration longestBreak() const;
-    std::vector<std::string> hostsToAsk();
-    void askForChanges(std::string_view prefix, std::int64_t reached, std::unique_lock<std::mutex> &lock);
-    static void noteSilence(std::string_view prefix, FollowedPrefix &followed, TimePoint now);
-    void setWatched(std::string_view prefix, bool isWatched);
-    void needRevision(std::string_view key, std::int64_t revision);
-    std::vector<std::string> hostsWithProofs();
-    std::optional<ProofReply> askForProof(const std::string &host);
+    bool isRankedHost() const;
+    bool watchesStoreDirectly() const;
+    bool hasRecentStoreReplies(const PrefixState &state, TimePoint now) const;
+    Duration outageSince(TimePoint lastReadAt) const;
+    TimePoint lastUpdateAt(const PrefixState &state) const;
+    bool isBehind(const PrefixState &state, TimePoint now) const;
+    void updateBehindState(std::string_view prefix, PrefixState &state, TimePoint now);
+    void recordGap(std::string_view prefix, PrefixState &state, std::int64_t revision, TimePoint now);
+    Duration storeCallWindow() const;
+    Duration storeCallDelay();
+    Duration maxOpenDuration() const;
+    std::vector<std::string> hostsToQuery();
+    void queryChanges(std::string_view prefix, std::int64_t syncedRevision, std::unique_lock<std::mutex> &lock);
+    static void updateRelaySilence(std::string_view prefix, PrefixState &state, TimePoint now);
+    void setOpenWatch(std::string_view prefix, bool hasOpenWatch);
+    void requireRevision(std::string_view key, std::int64_t revision);
+    std::vector<std::string> proofSources();
+    std::optional<ProofReply> queryProof(const std::string &host);
 
     std::string host_;
     Now now_;
     mutable std::mutex mutex_;
-    std::condition_variable heard_;
+    std::condition_variable updateArrived_;
     Network network_;
     bool knowsHosts_ = false;
-    std::vector<std::string> others_; ///< All hosts but this one.
-    std::vector<std::string> ranked_; ///< The first in rank: the relays, then the deputies.
+    std::vector<std::string> otherHosts_; ///< All hosts except this one.
+    std::vector<std::string> rankedHosts_; ///< Highest rank first: the relays, then the deputies.
     Random random_;
     CircuitBreaker breaker_;
-    TimePoint contactAt_; ///< When the store last answered a call of this host.
-    std::optional<TimePoint> failingSince_; ///< While calls fail: when the store last answered before.
-    TimePoint outageEnd_; ///< When the store answered again after calls had failed.
-    Duration outage_{}; ///< From the answer before.
-    std::map<std::string, FollowedPrefix, std::less<>> followed_;
-    std::map<std::uint64_t, std::optional<ProofReply>> questions_;
-    std::map<std::uint64_t, ChangesQuestion> changesQuestions_;
-    std::uint64_t lastQuestion_ = 0;
+    TimePoint lastStoreReplyAt_; ///< When the store last answered any call of this host.
+    std::optional<TimePoint> failingSince_; ///< While calls fail: when the store last answered before the first failure.
+    TimePoint outageEndedAt_; ///< When the store answered again after calls had failed.
+    Duration outageDuration_{}; ///< Of the last outage, from the last answer before it.
+    std::map<std::string, PrefixState, std::less<>> prefixes_;
+    std::map<std::uint64_t, std::optional<ProofReply>> pendingProofRequests_;
+    std::map<std::uint64_t, PendingChangesRequest> pendingChangesRequests_;
+    std::uint64_t lastRequestId_ = 0;
 };
 
 } // namespace Lovageloft
--- a/gateway/store_backoff.h
+++ b/gateway/store_backoff.h
@@ -5,7 +5,7 @@
 namespace Lovageloft
 {
 
-/// The pauses of a duty whose calls to the store fail.
+/// The delays between retries of a duty whose calls to the store fail.
 Backoff storeBackoff();
 
 } // namespace Lovageloft
--- a/gateway/store_records.h
+++ b/gateway/store_records.h
@@ -11,13 +11,13 @@
 namespace Lovageloft
 {
 
-/// Where the records of operators and targets stand in the store and how they are written. A strategy that reads formats only.
+/// Keys and formats of the records that operators and targets write to the store. Implementations only parse, they make no decisions.
 class StoreRecords
 {
 public:
     virtual ~StoreRecords() = default;
 
-    /// Everything that operators write stands under this prefix.
+    /// Prefix of all keys that operators write.
     virtual std::string_view operatorPrefix() const = 0;
     virtual std::string_view configurationKey() const = 0;
     virtual bool isWeightsKey(std::string_view key) const = 0;
@@ -25,7 +25,7 @@
 
     virtual std::optional<RoutingTable> parseConfiguration(const StoreEntry &entry, Reason &reason) const = 0;
 
-    /// Nothing for an entry that another writer left or that can't be read: it names no target to use.
+    /// Returns nothing for an entry that is invalid or belongs to another writer; such an entry is not a usable target.
     virtual std::optional<Target> parseTarget(const StoreEntry &entry, Reason &reason) const = 0;
     virtual std::optional<NamedWeights> parseWeights(const StoreEntry &entry, Reason &reason) const = 0;
 };
--- a/tests/gateway/test_fleet_news.cpp
+++ b/tests/gateway/test_fleet_news.cpp
@@ -21,7 +21,8 @@
 constexpr std::string_view prefix = "x/";
 constexpr Duration step = 10ms;
 
-/// A fleet whose hosts follow one prefix, in virtual time. Broadcasts go by forwarders; datagrams take a millisecond or two and may be lost.
+/// Simulated fleet whose hosts follow one prefix, in virtual time. Broadcasts go through forwarders; datagrams take one or two milliseconds
+/// and may be lost.
 class Fleet
 {
 public:
@@ -35,23 +36,23 @@
         }
         for (const std::string &name : names_) {
             auto &host = hosts_[name] = std::make_unique<Host>(*this, name);
-            host->view.setNetwork({[this, name](const ChangesNotice &notice) { broadcast(name, notice); },
-                                   {},
-                                   [this, name](const std::string &to, const ChangesRequest &request) { ask(name, to, request); }});
-            host->view.setHosts(names_, names_);
-            if (host->view.isRelay()) {
+            host->relayedStore.setNetwork({[this, name](const ChangesNotice &notice) { broadcast(name, notice); },
+                                           {},
+                                           [this, name](const std::string &to, const ChangesRequest &request) { ask(name, to, request); }});
+            host->relayedStore.setHosts(names_, names_);
+            if (host->relayedStore.isRelay()) {
                 relays.push_back(name);
             }
             follow(*host);
         }
-        calls = 0;
-        lists = 0;
+        storeCalls = 0;
+        listCalls = 0;
     }
 
     void write(const std::string &key, const std::string &value)
     {
-        const StoreReply known = memory_.get(key);
-        written_ = memory_.compareAndSwap(key, known.status == StoreStatus::Ok ? known.entry.revision : 0, value, 0).entry.revision;
+        const StoreReply current = memory_.get(key);
+        lastWrittenRevision_ = memory_.compareAndSwap(key, current.status == StoreStatus::Ok ? current.entry.revision : 0, value, 0).entry.revision;
     }
 
     void remove(const std::string &key)
@@ -76,43 +77,44 @@
             const bool isHeartbeatDue = toMillis(now - TimePoint{}) % 400 < toMillis(step);
             for (std::size_t i = 0; i < names_.size(); ++i) {
                 Host &host = *hosts_.at(names_[i]);
-                if (dead.contains(names_[i])) {
+                if (deadHosts.contains(names_[i])) {
                     continue;
                 }
-                if (isHeartbeatDue && host.view.isRelay()) {
-                    host.view.sendHeartbeat();
+                if (isHeartbeatDue && host.relayedStore.isRelay()) {
+                    host.relayedStore.sendHeartbeat();
                 }
                 follow(host);
             }
         }
     }
 
-    /// How many of the hosts that live know all that was written.
-    std::size_t current() const
+    /// Number of live hosts that have received all writes.
+    std::size_t upToDateCount() const
     {
-        return static_cast<std::size_t>(
-            std::count_if(hosts_.begin(), hosts_.end(), [this](const auto &host) { return !dead.contains(host.first) && host.second->newest >= written_; }));
+        return static_cast<std::size_t>(std::count_if(hosts_.begin(), hosts_.end(), [this](const auto &host) {
+            return !deadHosts.contains(host.first) && host.second->lastChangeRevision >= lastWrittenRevision_;
+        }));
     }
 
-    std::size_t living() const
+    std::size_t liveCount() const
     {
-        return hosts_.size() - dead.size();
+        return hosts_.size() - deadHosts.size();
     }
 
     TimePoint now{1h};
-    std::set<std::string> dead;
+    std::set<std::string> deadHosts;
     std::set<std::string> cutFromStore;
     std::size_t lossPercent = 0;
-    bool forgetsHistory = false; ///< Each watch has to begin with a list.
-    int calls = 0; ///< To the store.
-    int lists = 0; ///< Of them.
+    bool forgetsHistory = false; ///< Watches fail with NotFound, as if the store had compacted its history.
+    int storeCalls = 0; ///< Lists and watches of all hosts except the relays.
+    int listCalls = 0; ///< Lists of all hosts, relays included.
     std::vector<std::string> relays;
 
 private:
-    class Door final : public ForwardingStore
+    class HostStore final : public ForwardingStore
     {
     public:
-        Door(Fleet &fleet, std::string name)
+        HostStore(Fleet &fleet, std::string name)
             : ForwardingStore(fleet.memory_)
             , fleet_(fleet)
             , name_(std::move(name))
@@ -121,23 +123,23 @@
 
         StoreListReply list(std::string_view listed) override
         {
-            ++fleet_.lists;
-            return isOpen() ? ForwardingStore::list(listed) : StoreListReply{};
+            ++fleet_.listCalls;
+            return recordCall() ? ForwardingStore::list(listed) : StoreListReply{};
         }
 
         StoreListReply watch(std::string_view watched, std::int64_t after, Duration timeout) override
         {
-            if (!isOpen()) {
+            if (!recordCall()) {
                 return {};
             }
             return fleet_.forgetsHistory ? StoreListReply{StoreStatus::NotFound, {}, 0} : ForwardingStore::watch(watched, after, timeout);
         }
 
     private:
-        bool isOpen()
+        bool recordCall()
         {
-            // A relay's watches wait at the store; here they are asked again and again.
-            fleet_.calls += std::find(fleet_.relays.begin(), fleet_.relays.end(), name_) == fleet_.relays.end() ? 1 : 0;
+            // Calls of relays are not counted: their watches would wait at the store, but here they return and are repeated at each step.
+            fleet_.storeCalls += std::find(fleet_.relays.begin(), fleet_.relays.end(), name_) == fleet_.relays.end() ? 1 : 0;
             return !fleet_.cutFromStore.contains(name_);
         }
 
@@ -148,54 +150,54 @@
     struct Host
     {
         Host(Fleet &fleet, const std::string &name)
-            : door(fleet, name)
-            , view(door, name, [&fleet] { return fleet.now; })
+            : store(fleet, name)
+            , relayedStore(store, name, [&fleet] { return fleet.now; })
         {
         }
 
-        Door door;
-        RelayedStore view;
-        std::int64_t position = 0;
-        std::int64_t newest = 0; ///< Of the changes taken.
+        HostStore store;
+        RelayedStore relayedStore;
+        std::int64_t revision = 0;
+        std::int64_t lastChangeRevision = 0; ///< Of the changes received.
         std::set<std::string> keys;
     };
 
     struct Datagram
     {
-        TimePoint at;
-        std::uint64_t number = 0;
-        std::function<void()> take;
+        TimePoint deliveryTime;
+        std::uint64_t sequence = 0;
+        std::function<void()> handler;
 
         bool operator<(const Datagram &other) const
         {
-            return std::tie(other.at, other.number) < std::tie(at, number);
+            return std::tie(other.deliveryTime, other.sequence) < std::tie(deliveryTime, sequence);
         }
     };
 
     void follow(Host &host)
     {
-        if (host.position == 0) {
-            const StoreListReply all = host.view.list(prefix);
+        if (host.revision == 0) {
+            const StoreListReply all = host.relayedStore.list(prefix);
             if (all.status != StoreStatus::Ok) {
                 return;
             }
-            host.position = all.revision;
-            host.newest = all.revision;
+            host.revision = all.revision;
+            host.lastChangeRevision = all.revision;
             host.keys.clear();
             for (const StoreEntry &entry : all.entries) {
                 host.keys.insert(entry.key);
             }
             return;
         }
-        const StoreListReply reply = host.view.watch(prefix, host.position, Duration::zero());
+        const StoreListReply reply = host.relayedStore.watch(prefix, host.revision, Duration::zero());
         if (reply.status != StoreStatus::Ok) {
-            host.position = 0;
+            host.revision = 0;
             return;
         }
-        host.position = std::max(host.position, reply.revision);
+        host.revision = std::max(host.revision, reply.revision);
         for (const StoreEntry &entry : reply.entries) {
-            BOOST_REQUIRE(entry.revision >= host.newest);
-            host.newest = entry.revision;
+            BOOST_REQUIRE(entry.revision >= host.lastChangeRevision);
+            host.lastChangeRevision = entry.revision;
             if (entry.isDeleted) {
                 host.keys.erase(entry.key);
             } else {
@@ -204,13 +206,13 @@
         }
     }
 
-    void send(const std::string &to, std::function<void()> take)
+    void send(const std::string &to, std::function<void()> handler)
     {
         if (randomBelow(random_, 100) >= lossPercent) {
             const Duration delay = std::chrono::milliseconds(1 + randomBelow(random_, 2));
-            underway_.push({now + delay, ++sent_, [this, to, take = std::move(take)] {
-                                if (!dead.contains(to)) {
-                                    take();
+            inFlight_.push({now + delay, ++sentCount_, [this, to, handler = std::move(handler)] {
+                                if (!deadHosts.contains(to)) {
+                                    handler();
                                 }
                             }});
         }
@@ -218,10 +220,10 @@
 
     void deliver()
     {
-        while (!underway_.empty() && underway_.top().at <= now) {
-            const auto take = underway_.top().take;
-            underway_.pop();
-            take();
+        while (!inFlight_.empty() && inFlight_.top().deliveryTime <= now) {
+            const auto handler = inFlight_.top().handler;
+            inFlight_.pop();
+            handler();
         }
     }
 
@@ -240,9 +242,9 @@
             }
             const std::string &forwarder = others[branch.forwarder];
             send(forwarder, [this, notice, forwarder, receivers] {
-                hosts_.at(forwarder)->view.onNotice(notice);
+                hosts_.at(forwarder)->relayedStore.onNotice(notice);
                 for (const std::string &receiver : receivers) {
-                    send(receiver, [this, receiver, notice] { hosts_.at(receiver)->view.onNotice(notice); });
+                    send(receiver, [this, receiver, notice] { hosts_.at(receiver)->relayedStore.onNotice(notice); });
                 }
             });
         }
@@ -251,8 +253,8 @@
     void ask(const std::string &from, const std::string &to, const ChangesRequest &request)
     {
         send(to, [this, from, to, request] {
-            if (auto reply = hosts_.at(to)->view.changesFor(request)) {
-                send(from, [this, from, reply = std::move(*reply)] { hosts_.at(from)->view.onChangesReply(reply); });
+            if (auto reply = hosts_.at(to)->relayedStore.changesFor(request)) {
+                send(from, [this, from, reply = std::move(*reply)] { hosts_.at(from)->relayedStore.onChangesReply(reply); });
             }
         });
     }
@@ -261,9 +263,9 @@
     MemoryStore memory_;
     std::vector<std::string> names_;
     std::map<std::string, std::unique_ptr<Host>> hosts_;
-    std::priority_queue<Datagram> underway_;
-    std::uint64_t sent_ = 0;
-    std::int64_t written_ = 0;
+    std::priority_queue<Datagram> inFlight_;
+    std::uint64_t sentCount_ = 0;
+    std::int64_t lastWrittenRevision_ = 0;
 };
 
 constexpr std::size_t fleetSizes[] = {9, 80, 295, 1'000};
@@ -272,22 +274,22 @@
 
 BOOST_AUTO_TEST_SUITE(FleetNewsTest)
 
-BOOST_AUTO_TEST_CASE(onACalmDayNobodyButTheRelaysAsksTheStore)
+BOOST_AUTO_TEST_CASE(withoutFaultsOnlyRelaysCallTheStore)
 {
     for (const std::size_t size : fleetSizes) {
         Fleet fleet(size, 1);
         for (int i = 0; i < 20; ++i) {
             fleet.write("x/a", std::to_string(i));
             fleet.run(100ms);
-            BOOST_TEST(fleet.current() == size);
+            BOOST_TEST(fleet.upToDateCount() == size);
         }
-        BOOST_TEST(fleet.calls == 0);
+        BOOST_TEST(fleet.storeCalls == 0);
     }
 }
 
-BOOST_AUTO_TEST_CASE(lostDatagramsAreMadeUpForByOtherHosts)
+BOOST_AUTO_TEST_CASE(changesInLostDatagramsAreReceivedFromOtherHosts)
 {
-    // Guards against a read of the whole list by each host that missed a datagram.
+    // Guards against a list call by each host that missed a datagram.
     for (const std::size_t size : {80U, 295U}) {
         Fleet fleet(size, 2);
         fleet.lossPercent = 10;
@@ -297,33 +299,33 @@
         }
         fleet.lossPercent = 0;
         fleet.run(1s);
-        BOOST_TEST(fleet.current() == size);
-        BOOST_TEST(fleet.lists == 0);
-        BOOST_TEST(fleet.calls < 10);
+        BOOST_TEST(fleet.upToDateCount() == size);
+        BOOST_TEST(fleet.listCalls == 0);
+        BOOST_TEST(fleet.storeCalls < 10);
     }
 }
 
-BOOST_AUTO_TEST_CASE(aFleetThatLosesItsRelaysDoesNotStampede)
+BOOST_AUTO_TEST_CASE(theLossOfBothRelaysCausesNoThunderingHerd)
 {
-    // Guards against hundreds of hosts that ask the store at the moment at which two others die.
+    // Guards against hundreds of hosts that call the store at the moment when both relays fail.
     for (const std::size_t size : fleetSizes) {
         Fleet fleet(size, 3);
         fleet.run(1s);
-        fleet.dead.insert(fleet.relays.begin(), fleet.relays.end());
+        fleet.deadHosts.insert(fleet.relays.begin(), fleet.relays.end());
         fleet.run(1s);
         fleet.write("x/a", "1");
         fleet.run(2500ms);
-        BOOST_TEST(fleet.current() == fleet.living());
-        // Sixteen at most ask again and again, here at each step, as a waiting watch can't be told from an answered one.
-        BOOST_TEST(fleet.lists == 0);
+        BOOST_TEST(fleet.upToDateCount() == fleet.liveCount());
+        // At most 16 ranked hosts watch the store. Here they call at each step, because a pending watch cannot be told from an answered one.
+        BOOST_TEST(fleet.listCalls == 0);
         const int perStep = 16 * static_cast<int>(3500ms / step);
-        BOOST_TEST(fleet.calls < perStep + static_cast<int>(size));
+        BOOST_TEST(fleet.storeCalls < perStep + static_cast<int>(size));
     }
 }
 
-BOOST_AUTO_TEST_CASE(hostsThatTheStoreTurnsAwayHearFromThoseItServes)
+BOOST_AUTO_TEST_CASE(hostsCutOffFromTheStoreReceiveChangesFromOtherHosts)
 {
-    // Guards against hosts that serve withdrawn keys, or nobody, as the store answers others only.
+    // Guards against hosts that accept withdrawn keys, or refuse all requests, because the store answers only other hosts.
     Fleet fleet(295, 4);
     for (std::size_t i = 0; i < 100; ++i) {
         fleet.cutFromStore.insert("host-" + std::to_string(i));
@@ -334,14 +336,14 @@
     for (int i = 0; i < 10; ++i) {
         fleet.write("x/a", std::to_string(i));
         fleet.run(500ms);
-        BOOST_TEST(fleet.current() == fleet.living());
+        BOOST_TEST(fleet.upToDateCount() == fleet.liveCount());
     }
-    BOOST_TEST(fleet.calls < 30);
+    BOOST_TEST(fleet.storeCalls < 30);
 }
 
-BOOST_AUTO_TEST_CASE(aStoreThatForgetsItsHistoryIsReadByTheRelaysOnly)
+BOOST_AUTO_TEST_CASE(aStoreThatCompactsItsHistoryIsListedByTheRelaysOnly)
 {
-    // Guards against a read of the whole list by each host when the store forgets its history while keys change and go.
+    // Guards against a list call by each host when the store compacts its history while keys are changed and deleted.
     Fleet fleet(295, 6);
     for (int i = 0; i < 5; ++i) {
         fleet.write("x/a", std::to_string(i));
@@ -353,51 +355,51 @@
         fleet.run(100ms);
         fleet.forgetsHistory = false;
         fleet.run(1s);
-        BOOST_TEST(fleet.current() == 295U);
+        BOOST_TEST(fleet.upToDateCount() == 295U);
     }
-    BOOST_TEST(fleet.calls == 0);
+    BOOST_TEST(fleet.storeCalls == 0);
     BOOST_TEST(fleet.holdsOnAll("x/c4"));
     BOOST_TEST(!fleet.holdsOnAny("x/b"));
 }
 
-BOOST_AUTO_TEST_CASE(aStoreThatIsAwayIsNotBesieged)
+BOOST_AUTO_TEST_CASE(callsToAnUnreachableStoreAreLimited)
 {
-    // Guards against hundreds of hosts that call a store that is down again and again.
+    // Guards against hundreds of hosts that repeatedly call a store that is down.
     Fleet fleet(295, 7);
     fleet.run(1s);
     for (std::size_t i = 0; i < 295; ++i) {
         fleet.cutFromStore.insert("host-" + std::to_string(i));
     }
     fleet.run(8s);
-    BOOST_TEST(fleet.calls < 8 * 295);
+    BOOST_TEST(fleet.storeCalls < 8 * 295);
     fleet.write("x/a", "1");
     fleet.cutFromStore.clear();
     fleet.run(2500ms);
-    BOOST_TEST(fleet.current() == 295U);
+    BOOST_TEST(fleet.upToDateCount() == 295U);
 }
 
-BOOST_AUTO_TEST_CASE(halfOfTheFleetMayBeDead)
+BOOST_AUTO_TEST_CASE(theFleetConvergesWithHalfOfItsHostsDead)
 {
     Fleet fleet(295, 5);
     for (std::size_t i = 0; i < 148; ++i) {
-        fleet.dead.insert("host-" + std::to_string(2 * i));
+        fleet.deadHosts.insert("host-" + std::to_string(2 * i));
     }
     for (int i = 0; i < 10; ++i) {
         fleet.write("x/a", std::to_string(i));
         fleet.run(500ms);
     }
     fleet.run(2500ms);
-    BOOST_TEST(fleet.current() == fleet.living());
+    BOOST_TEST(fleet.upToDateCount() == fleet.liveCount());
 }
 
-BOOST_AUTO_TEST_CASE(randomLossesDeathsAndCutsEndWithAllHostsCurrent)
+BOOST_AUTO_TEST_CASE(allHostsConvergeAfterRandomLossesFailuresAndCuts)
 {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         Random random(seed);
         Fleet fleet(40, seed);
         for (int i = 0; i < 30; ++i) {
             const std::string name = "host-" + std::to_string(randomBelow(random, 40));
-            auto &group = randomBelow(random, 2) == 0 ? fleet.dead : fleet.cutFromStore;
+            auto &group = randomBelow(random, 2) == 0 ? fleet.deadHosts : fleet.cutFromStore;
             if (group.erase(name) == 0) {
                 group.insert(name);
             }
@@ -405,11 +407,11 @@
             fleet.write("x/" + std::to_string(randomBelow(random, 5)), std::to_string(i));
             fleet.run(std::chrono::milliseconds(randomBelow(random, 800)));
         }
-        fleet.dead.clear();
+        fleet.deadHosts.clear();
         fleet.cutFromStore.clear();
         fleet.lossPercent = 0;
         fleet.run(4s);
-        BOOST_TEST(fleet.current() == 40U, "seed " << seed);
+        BOOST_TEST(fleet.upToDateCount() == 40U, "seed " << seed);
     }
 }
 
--- a/tests/gateway/test_host_record.cpp
+++ b/tests/gateway/test_host_record.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(HostRecordTest)
 
-BOOST_AUTO_TEST_CASE(whatIsWrittenIsRead)
+BOOST_AUTO_TEST_CASE(aRecordRoundTripsThroughText)
 {
     const auto record = parseHostRecord(hostRecordText({{"10.0.0.1", 7600}, {0.12, 20}, "a centre"}));
     BOOST_REQUIRE(record.has_value());
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_CASE(aRecordWithoutCapacityStillNamesAHost)
 {
-    // Guards against a host that others don't count while hosts of two releases run.
+    // Guards against hosts that other hosts ignore while two releases run side by side.
     for (const char *text : {"10.0.0.1:7600", "10.0.0.1:7600 ", "10.0.0.1:7600 many links", "10.0.0.1:7600 -1 99999999999999"}) {
         const auto record = parseHostRecord(text);
         BOOST_REQUIRE(record.has_value());
--- a/tests/gateway/test_outage_in_pieces.cpp
+++ b/tests/gateway/test_outage_in_pieces.cpp
@@ -7,8 +7,8 @@
 using namespace Lovageloft;
 using namespace std::chrono_literals;
 
-// Guards against targets that are dropped after an outage in which their entries lapsed, as a call that fails late hides how long it was.
-BOOST_AUTO_TEST_CASE(aCallThatFailsAfterAnOutageDoesNotHideIt)
+// Guards against dropping targets whose leases expired during an outage, because a call that fails late hides the length of the outage.
+BOOST_AUTO_TEST_CASE(aCallThatFailsAfterAnOutageDoesNotHideTheOutage)
 {
     FaultyStore store;
     const auto setDown = [&store](bool isDown) { store.setFaults([isDown] { return isDown ? FaultyStore::Fault::Down : FaultyStore::Fault::None; }); };
@@ -22,10 +22,10 @@
     relay.list("x/");
     now += 5s;
     setDown(false);
-    relay.confirm("x/seed", seed); // Another duty is answered first.
+    relay.confirm("x/seed", seed); // The first call to be answered is that of another duty.
     now += 100ms;
     setDown(true);
-    relay.confirm("x/seed", seed); // One that was sent during the outage is given up now.
+    relay.confirm("x/seed", seed); // A call that was sent during the outage times out now.
     setDown(false);
     now += 100ms;
     relay.confirm("x/seed", seed);
--- a/tests/gateway/test_pause_detector.cpp
+++ b/tests/gateway/test_pause_detector.cpp
@@ -14,7 +14,7 @@
 
 BOOST_AUTO_TEST_SUITE(PauseDetectorTest)
 
-BOOST_AUTO_TEST_CASE(ordinaryLooksAreNoStandstill)
+BOOST_AUTO_TEST_CASE(regularTicksAreNoPause)
 {
     PauseDetector detector;
     BOOST_TEST((detector.recentPause(start) == Duration::zero()));
@@ -24,7 +24,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aStandstillIsToldBeforeTheNextLookAndAMomentAfterIt)
+BOOST_AUTO_TEST_CASE(aPauseIsReportedBeforeTheNextTickAndAMomentAfterIt)
 {
     PauseDetector detector;
     detector.tick(start);
@@ -36,10 +36,10 @@
     BOOST_TEST((detector.recentPause(start + 4600ms) == Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(standstillsRightAfterOneAnotherCountAsOne)
+BOOST_AUTO_TEST_CASE(pausesInQuickSuccessionCountAsOne)
 {
-    // A host is frozen again a tenth of a second after it woke, before it has read what had come. Counted by the second freeze alone, what
-    // it then reads would be taken for three seconds younger than it may be.
+    // A host is frozen again 0.1 s after it resumed, before it has read the messages that had arrived. If only the second pause counted, these
+    // messages would be taken for up to three seconds newer than they are.
     PauseDetector detector;
     detector.tick(start);
     detector.tick(start + 3s);
