--- a/gateway/fleet_link.cpp
+++ b/gateway/fleet_link.cpp
@@ -86,9 +86,9 @@
     budget_.setLimits(limits, BootClock::now());
 }
 
-void FleetLink::acquireTokens(std::string_view team, double tokens, TeamBudget::Answer handler)
+void FleetLink::acquireTokens(std::string_view team, double tokens, TeamBudget::DecisionHandler handler)
 {
-    budget_.take(team, tokens, BootClock::now(), sendTokenRequest_, std::move(handler));
+    budget_.consume(team, tokens, BootClock::now(), sendTokenRequest_, std::move(handler));
     scheduleTokenTimeout();
 }
 
@@ -99,7 +99,7 @@
 
 void FleetLink::announceLoading(const std::string &targetId, Duration duration)
 {
-    gateway_.leaveAlone(targetId, duration);
+    gateway_.avoidTarget(targetId, duration);
     socket_.broadcast(LoadingNotice{targetId, duration});
 }
 
@@ -156,8 +156,8 @@
 void FleetLink::onWeightsQuestion(const std::string &host)
 {
     const TimePoint now = BootClock::now();
-    for (const NamedWeights &weights : gateway_.targets().namedWithKnownAge()) {
-        socket_.send(host, WeightsAge{weights.model, weights.version, now - weights.learntAt});
+    for (const PublishedWeights &weights : gateway_.targets().weightsWithKnownTime()) {
+        socket_.send(host, WeightsAge{weights.model, weights.version, now - weights.publishedAt});
     }
 }
 
@@ -192,9 +192,9 @@
     // The notice may have waited in the socket buffer while this process was paused. With its duration counted from now, engines that have
     // finished loading, after a change of weights all of them, would get no requests for seconds. An engine that is still loading declines
     // a request and is then avoided.
-    const Duration remaining = notice.time - gateway_.justStoodStill(BootClock::now());
+    const Duration remaining = notice.time - gateway_.recentPause(BootClock::now());
     if (remaining > Duration::zero()) {
-        gateway_.leaveAlone(notice.target, remaining);
+        gateway_.avoidTarget(notice.target, remaining);
     }
     orderListener_(notice.target);
 }
@@ -235,7 +235,7 @@
 
 bool FleetLink::isBehind() const
 {
-    return gateway_.justStoodStill(BootClock::now()) != Duration::zero();
+    return gateway_.recentPause(BootClock::now()) != Duration::zero();
 }
 
 void FleetLink::onProofRequest(const std::string &host, const ProofRequest &request)
@@ -247,7 +247,7 @@
 
 void FleetLink::onProofReply(const ProofReply &reply)
 {
-    gateway_.noteTableElsewhere(reply.revision, reply.version);
+    gateway_.notePeerTable(reply.revision, reply.version);
     if (relayedStore_ != nullptr) {
         relayedStore_->onProofReply(reply);
     }
--- a/gateway/fleet_link.h
+++ b/gateway/fleet_link.h
@@ -46,7 +46,7 @@
     void setLimits(std::span<const TeamLimit> limits);
 
     /// Consumes tokens of a team's rate limit; `handler` is called immediately or within a few round trips.
-    void acquireTokens(std::string_view team, double tokens, TeamBudget::Answer handler);
+    void acquireTokens(std::string_view team, double tokens, TeamBudget::DecisionHandler handler);
     void refundTokens(std::string_view team, double tokens);
 
     /// Announces that a request was sent to an engine; does nothing below `minAnnouncedTokens`.
@@ -98,7 +98,7 @@
     PeerSocket socket_;
     TeamBudget budget_;
     boost::asio::steady_timer tokenTimer_;
-    TeamBudget::Send sendTokenRequest_;
+    TeamBudget::RequestSender sendTokenRequest_;
     std::function<void(RequestFingerprint)> recordQuarantine_ = [](RequestFingerprint) {};
     CrashGuard crashes_;
     std::vector<std::string> otherHosts_; ///< Names of all other hosts.
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -89,18 +89,18 @@
     /// The configuration with this revision exists and may not have been read yet.
     void noteNewerTable(std::int64_t revision);
 
-    /// Another host has this configuration in force; see TableFreshness::noteElsewhere.
-    void noteTableElsewhere(std::int64_t revision, std::int64_t version);
+    /// Another host has this configuration in force; see TableFreshness::notePeerTable.
+    void notePeerTable(std::int64_t revision, std::int64_t version);
 
     void setTargets(std::shared_ptr<const TargetMap> targets);
-    void setNamedWeights(const NamedWeights &weights);
+    void setPublishedWeights(const PublishedWeights &weights);
 
     /// Hears of the newest weights of each model whenever this host learns of some, or of when they were named. To be called before `run`.
-    using WeightsListener = std::function<void(const std::vector<NamedWeights> &)>;
+    using WeightsListener = std::function<void(const std::vector<PublishedWeights> &)>;
     void setWeightsListener(WeightsListener listener);
 
     /// The weights that the store still kept as young when this host started.
-    void setYoungWeights(const std::set<std::string> &names);
+    void setRecentWeights(const std::set<std::string> &names);
 
     /// Another host knows how long ago weights were named.
     void learnWeightsAge(const WeightsAge &age);
@@ -115,7 +115,7 @@
     void setLimits(const GatewayLimits &limits);
 
     /// The time since a standstill of this process began that ends now or ended a moment ago; else zero.
-    Duration justStoodStill(TimePoint now) const;
+    Duration recentPause(TimePoint now) const;
 
     /// Begins a graceful shutdown.
     void drain();
@@ -185,7 +185,7 @@
     void beginWhenConfigured(const std::shared_ptr<RoutedRequest> &request);
 
     /// A target is about to load and declines requests meanwhile.
-    void leaveAlone(std::string_view targetId, Duration time);
+    void avoidTarget(std::string_view targetId, Duration time);
 
     void onTargetLoad(std::string_view engineName, const TargetLoad &load);
 
@@ -196,7 +196,7 @@
     int refuse(CallerSession *session, const Reason &reason, RunState runState, Duration retryAfter);
 
     /// The same for a message that could not be read.
-    void refuseUnread(CallerSession &session, const Reason &reason);
+    void refuseMalformed(CallerSession &session, const Reason &reason);
 
     void onRequestEnded(const RoutedRequest &request, const EndedRequest &ended);
     void onSessionEnded(const std::shared_ptr<CallerSession> &session);
--- a/gateway/store_records.h
+++ b/gateway/store_records.h
@@ -27,7 +27,7 @@
 
     /// Returns nothing for an entry that is invalid or belongs to another writer; such an entry is not a usable target.
     virtual std::optional<Target> parseTarget(const StoreEntry &entry, Reason &reason) const = 0;
-    virtual std::optional<NamedWeights> parseWeights(const StoreEntry &entry, Reason &reason) const = 0;
+    virtual std::optional<PublishedWeights> parseWeights(const StoreEntry &entry, Reason &reason) const = 0;
 };
 
 } // namespace Lovageloft
