--- a/gateway/fleet_link.h
+++ b/gateway/fleet_link.h
@@ -65,7 +65,7 @@
     CrashGuard &crashes();
     const CrashGuard &crashes() const;
 
-    /// Asks a few hosts how long ago the weights were published that this host found at startup.
+    /// Asks a few hosts how long ago the weights that this host found at startup were published.
     void queryWeightsAges();
 
     /// Asks a few hosts for the revision and version of the configuration that they use.
--- a/gateway/gateway_settings.h
+++ b/gateway/gateway_settings.h
@@ -14,9 +14,9 @@
 {
     std::string hostName;
     std::string dataCentre;
-    HostAddress callers;
-    HostAddress readiness;
-    HostAddress store;
+    HostAddress callers; ///< Listens for requests of callers.
+    HostAddress readiness; ///< Answers readiness checks of the load balancer.
+    HostAddress store; ///< Address of the store's server.
     HostAddress peers; ///< Receives datagrams of other hosts.
     HostCapacity capacity;
     Duration keyProofWindow{}; ///< Time within which a withdrawn key must stop working.
--- a/tests/gateway/test_fleet_news.cpp
+++ b/tests/gateway/test_fleet_news.cpp
@@ -38,7 +38,7 @@
             auto &host = hosts_[name] = std::make_unique<Host>(*this, name);
             host->relayedStore.setNetwork({[this, name](const ChangesNotice &notice) { broadcast(name, notice); },
                                            {},
-                                           [this, name](const std::string &to, const ChangesRequest &request) { ask(name, to, request); }});
+                                           [this, name](const std::string &to, const ChangesRequest &request) { sendChangesRequest(name, to, request); }});
             host->relayedStore.setHosts(names_, names_);
             if (host->relayedStore.isRelay()) {
                 relays.push_back(name);
@@ -60,12 +60,12 @@
         memory_.compareAndDelete(key, memory_.get(key).entry.revision);
     }
 
-    bool holdsOnAll(const std::string &key) const
+    bool allHostsHaveKey(const std::string &key) const
     {
         return std::all_of(hosts_.begin(), hosts_.end(), [&](const auto &host) { return host.second->keys.contains(key); });
     }
 
-    bool holdsOnAny(const std::string &key) const
+    bool anyHostHasKey(const std::string &key) const
     {
         return std::any_of(hosts_.begin(), hosts_.end(), [&](const auto &host) { return host.second->keys.contains(key); });
     }
@@ -103,9 +103,9 @@
 
     TimePoint now{1h};
     std::set<std::string> deadHosts;
-    std::set<std::string> cutFromStore;
+    std::set<std::string> hostsCutFromStore;
     std::size_t lossPercent = 0;
-    bool forgetsHistory = false; ///< Watches fail with NotFound, as if the store had compacted its history.
+    bool isHistoryCompacted = false; ///< Watches fail with NotFound, as if the store had compacted its history.
     int storeCalls = 0; ///< Lists and watches of all hosts except the relays.
     int listCalls = 0; ///< Lists of all hosts, relays included.
     std::vector<std::string> relays;
@@ -132,7 +132,7 @@
             if (!recordCall()) {
                 return {};
             }
-            return fleet_.forgetsHistory ? StoreListReply{StoreStatus::NotFound, {}, 0} : ForwardingStore::watch(watched, after, timeout);
+            return fleet_.isHistoryCompacted ? StoreListReply{StoreStatus::NotFound, {}, 0} : ForwardingStore::watch(watched, after, timeout);
         }
 
     private:
@@ -140,7 +140,7 @@
         {
             // Calls of relays are not counted: their watches would wait at the store, but here they return and are repeated at each step.
             fleet_.storeCalls += std::find(fleet_.relays.begin(), fleet_.relays.end(), name_) == fleet_.relays.end() ? 1 : 0;
-            return !fleet_.cutFromStore.contains(name_);
+            return !fleet_.hostsCutFromStore.contains(name_);
         }
 
         Fleet &fleet_;
@@ -250,7 +250,7 @@
         }
     }
 
-    void ask(const std::string &from, const std::string &to, const ChangesRequest &request)
+    void sendChangesRequest(const std::string &from, const std::string &to, const ChangesRequest &request)
     {
         send(to, [this, from, to, request] {
             if (auto reply = hosts_.at(to)->relayedStore.changesFor(request)) {
@@ -328,10 +328,10 @@
     // Guards against hosts that accept withdrawn keys, or refuse all requests, because the store answers only other hosts.
     Fleet fleet(295, 4);
     for (std::size_t i = 0; i < 100; ++i) {
-        fleet.cutFromStore.insert("host-" + std::to_string(i));
+        fleet.hostsCutFromStore.insert("host-" + std::to_string(i));
     }
     for (const std::string &relay : fleet.relays) {
-        fleet.cutFromStore.erase(relay);
+        fleet.hostsCutFromStore.erase(relay);
     }
     for (int i = 0; i < 10; ++i) {
         fleet.write("x/a", std::to_string(i));
@@ -349,17 +349,17 @@
         fleet.write("x/a", std::to_string(i));
         fleet.write("x/b", std::to_string(i));
         fleet.run(200ms);
-        fleet.forgetsHistory = true;
+        fleet.isHistoryCompacted = true;
         fleet.write("x/c" + std::to_string(i), "1");
         fleet.remove("x/b");
         fleet.run(100ms);
-        fleet.forgetsHistory = false;
+        fleet.isHistoryCompacted = false;
         fleet.run(1s);
         BOOST_TEST(fleet.upToDateCount() == 295U);
     }
     BOOST_TEST(fleet.storeCalls == 0);
-    BOOST_TEST(fleet.holdsOnAll("x/c4"));
-    BOOST_TEST(!fleet.holdsOnAny("x/b"));
+    BOOST_TEST(fleet.allHostsHaveKey("x/c4"));
+    BOOST_TEST(!fleet.anyHostHasKey("x/b"));
 }
 
 BOOST_AUTO_TEST_CASE(callsToAnUnreachableStoreAreLimited)
@@ -368,12 +368,12 @@
     Fleet fleet(295, 7);
     fleet.run(1s);
     for (std::size_t i = 0; i < 295; ++i) {
-        fleet.cutFromStore.insert("host-" + std::to_string(i));
+        fleet.hostsCutFromStore.insert("host-" + std::to_string(i));
     }
     fleet.run(8s);
     BOOST_TEST(fleet.storeCalls < 8 * 295);
     fleet.write("x/a", "1");
-    fleet.cutFromStore.clear();
+    fleet.hostsCutFromStore.clear();
     fleet.run(2500ms);
     BOOST_TEST(fleet.upToDateCount() == 295U);
 }
@@ -399,7 +399,7 @@
         Fleet fleet(40, seed);
         for (int i = 0; i < 30; ++i) {
             const std::string name = "host-" + std::to_string(randomBelow(random, 40));
-            auto &group = randomBelow(random, 2) == 0 ? fleet.deadHosts : fleet.cutFromStore;
+            auto &group = randomBelow(random, 2) == 0 ? fleet.deadHosts : fleet.hostsCutFromStore;
             if (group.erase(name) == 0) {
                 group.insert(name);
             }
@@ -408,7 +408,7 @@
             fleet.run(std::chrono::milliseconds(randomBelow(random, 800)));
         }
         fleet.deadHosts.clear();
-        fleet.cutFromStore.clear();
+        fleet.hostsCutFromStore.clear();
         fleet.lossPercent = 0;
         fleet.run(4s);
         BOOST_TEST(fleet.upToDateCount() == 40U, "seed " << seed);
--- a/tests/gateway/test_relayed_store.cpp
+++ b/tests/gateway/test_relayed_store.cpp
@@ -70,7 +70,7 @@
         for (const std::string &name : hosts) {
             relayedStores[name] = std::make_unique<RelayedStore>(store, name);
             relayedStores[name]->setNetwork({[this, name](const ChangesNotice &notice) { broadcast(name, notice); },
-                                             [this, name](const std::string &to, const ProofRequest &request) { ask(name, to, request); }});
+                                             [this, name](const std::string &to, const ProofRequest &request) { answerProofRequest(name, to, request); }});
             relayedStores[name]->setHosts(hosts, hosts);
             (relayedStores[name]->isRelay() ? relays : nonRelays).push_back(name);
         }
@@ -89,7 +89,7 @@
         }
     }
 
-    void ask(const std::string &from, const std::string &to, const ProofRequest &request)
+    void answerProofRequest(const std::string &from, const std::string &to, const ProofRequest &request)
     {
         if (!ignoresProofRequests) {
             relayedStores[from]->onProofReply({request.id, provenRevision, proofAge});
@@ -108,7 +108,7 @@
     std::vector<std::string> relays;
     std::vector<std::string> nonRelays;
     Random random{7};
-    std::size_t lossPercent = 0; ///< Share of notices that are lost.
+    std::size_t lossPercent = 0;
     bool omitsValues = false;
     bool ignoresProofRequests = false;
     std::int64_t provenRevision = 0;
