--- a/coordination/forwarding_store.h
+++ b/coordination/forwarding_store.h
@@ -5,7 +5,7 @@
 namespace Lovageloft
 {
 
-/// A store that hands every call on to another one, as a base for stores that change some of them. Thread-safe if the other is.
+/// Forwards every call to another store; a base class for stores that override some of the calls. Thread-safe if the other store is.
 class ForwardingStore : public Store
 {
 public:
--- a/coordination/host_lists.h
+++ b/coordination/host_lists.h
@@ -14,8 +14,8 @@
 namespace Lovageloft
 {
 
-/// The names of the hosts that make up a majority. While a change of the list is not in force yet, some hosts go by the former list
-/// and some by the new one, so that a majority of both is needed.
+/// The names of the hosts of which a majority is required. Until a change of the list is in force, some hosts use the previous list and
+/// some the new one, so that a majority of both lists is required.
 struct HostLists
 {
     std::vector<std::string> current;
@@ -24,23 +24,23 @@
     bool operator==(const HostLists &) const = default;
 };
 
-/// How many of `count` hosts are a majority: more than half.
+/// The smallest majority of `count` hosts: more than half.
 constexpr std::size_t majorityOf(std::size_t count)
 {
     return count / 2 + 1;
 }
 
-/// What a host answers when it is asked what it holds.
+/// A host's answer to the question which version of the configuration it holds.
 struct PeerVersionReport
 {
     std::string host;
-    std::uint64_t incarnation = 0; ///< Higher after each restart; 0 in a vouch that was relayed.
-    std::int64_t versionHeld = 0; ///< The sequence of the last log entry that it replayed.
-    bool isCaughtUp = false; ///< False after a restart until it has caught up from the store or a majority.
+    std::uint64_t incarnation = 0; ///< Higher after each restart; 0 in a relayed report.
+    std::int64_t versionHeld = 0; ///< Sequence of the last log entry that the host replayed.
+    bool isCaughtUp = false; ///< False after a restart until the host has caught up from the store or from a majority.
 };
 
-/// The latest time since which a majority of every list is covered, given the time of each host or nothing for a host that
-/// does not count. Nothing if a list has no such majority, or if there is no list.
+/// The latest time for which a majority of every list has that time or a later one. `timeOf` returns the time of a host, or nothing for a
+/// host that does not count. Nothing if a list has no such majority, or if there is no list.
 inline std::optional<TimePoint> majorityTime(const HostLists &lists, const std::function<std::optional<TimePoint>(const std::string &)> &timeOf)
 {
     if (lists.current.empty()) {
--- a/coordination/memory_store.cpp
+++ b/coordination/memory_store.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// How late a waiting watch may notice that a lease has lapsed: no write wakes it then.
+/// Maximum delay until a waiting watch notices an expired lease; expiry itself notifies no waiting thread.
 constexpr Duration leaseCheckInterval = std::chrono::milliseconds(50);
 
 } // namespace
@@ -79,7 +79,7 @@
         return {StoreStatus::NotFound, std::move(current)};
     }
     values_.insert_or_assign(std::string(key), Value{std::string(value), revision_ + 1, leaseId});
-    record(entryOf(key));
+    appendWrite(entryOf(key));
     return {StoreStatus::Ok, entryOf(key)};
 }
 
@@ -140,7 +140,7 @@
     if (!leases_.contains(leaseId)) {
         return {StoreStatus::NotFound, leaseId, {}};
     }
-    dropLease(leaseId);
+    removeLease(leaseId);
     return {StoreStatus::Ok, leaseId, {}};
 }
 
@@ -165,7 +165,7 @@
     return reply;
 }
 
-void MemoryStore::record(StoreEntry entry)
+void MemoryStore::appendWrite(StoreEntry entry)
 {
     ++revision_;
     history_.push_back(std::move(entry));
@@ -179,10 +179,10 @@
 void MemoryStore::erase(const std::string &key)
 {
     values_.erase(key);
-    record({key, {}, revision_ + 1, true});
+    appendWrite({key, {}, revision_ + 1, true});
 }
 
-void MemoryStore::dropLease(std::int64_t leaseId)
+void MemoryStore::removeLease(std::int64_t leaseId)
 {
     leases_.erase(leaseId);
     std::vector<std::string> keys;
@@ -199,14 +199,14 @@
 void MemoryStore::expireLeases()
 {
     const TimePoint now = now_();
-    std::vector<std::int64_t> lapsed;
+    std::vector<std::int64_t> expired;
     for (const auto &[id, lease] : leases_) {
         if (lease.expiry <= now) {
-            lapsed.push_back(id);
+            expired.push_back(id);
         }
     }
-    for (const std::int64_t id : lapsed) {
-        dropLease(id);
+    for (const std::int64_t id : expired) {
+        removeLease(id);
     }
 }
 
--- a/coordination/memory_store.h
+++ b/coordination/memory_store.h
@@ -14,27 +14,27 @@
 namespace Lovageloft
 {
 
-/// The store of a deployment of one host, and of tests: all in memory, gone with the process.
-/// Thread-safe. Time comes from the function handed in, so that tests let leases lapse at will.
+/// An in-memory store for deployments of a single host and for tests; its contents are lost with the process. Thread-safe. The current
+/// time comes from the given function, so that tests control when leases expire.
 class MemoryStore : public Store
 {
 public:
     using Now = std::function<TimePoint()>;
 
-    /// Keeps the last `historyLimit` writes for watches. A watch after a revision that is no longer covered gets
-    /// NotFound with the oldest revision that it may go on from; its caller has to list again.
+    /// Keeps the last `historyLimit` writes for watches. A watch from a revision that is no longer covered gets NotFound with the oldest
+    /// revision from which it may continue; the caller has to list again.
     explicit MemoryStore(Now now = &BootClock::now, std::size_t historyLimit = 4096);
 
-    /// All that a copy of the store holds.
+    /// The complete contents of a store.
     class Snapshot;
 
     std::shared_ptr<const Snapshot> snapshot();
 
-    /// Comes back from a copy: what was written since is gone, leases too, and revisions are given out again. A watch from a revision that there
-    /// isn't gets NotFound.
+    /// Restores a snapshot: writes and leases since then are lost, and their revisions are assigned again. A watch from a revision that no
+    /// longer exists gets NotFound.
     void restore(const Snapshot &snapshot);
 
-    /// How often it was restored.
+    /// Number of calls of restore().
     std::int64_t restoreCount() const;
 
     StoreReply get(std::string_view key) override;
@@ -62,9 +62,9 @@
 
     StoreEntry entryOf(std::string_view key) const;
     StoreListReply historyAfter(std::string_view prefix, std::int64_t afterRevision) const;
-    void record(StoreEntry entry);
+    void appendWrite(StoreEntry entry);
     void erase(const std::string &key);
-    void dropLease(std::int64_t leaseId);
+    void removeLease(std::int64_t leaseId);
     void expireLeases();
 
     Now now_;
@@ -74,7 +74,7 @@
     std::map<std::int64_t, Lease> leases_;
     std::deque<StoreEntry> history_;
     std::size_t historyLimit_;
-    std::int64_t compactedRevision_ = 0; // The last write that has left the history.
+    std::int64_t compactedRevision_ = 0; // Revision of the last write that was dropped from the history.
     std::int64_t revision_ = 0;
     std::int64_t lastLeaseId_ = 0;
     std::atomic<std::int64_t> restores_ = 0;
--- a/coordination/store.h
+++ b/coordination/store.h
@@ -8,8 +8,8 @@
 
 #include "core/clock.h"
 
-/// What the system needs of the platform's key-value service, and no more: compare-and-swap of one key,
-/// lists, watches and leases. Drivers implement it; the pure packages use it through this interface only.
+/// The operations that the router needs from the platform's key-value service: compare-and-swap of single keys, lists, watches and
+/// leases. Drivers implement this interface; packages without I/O access the service only through it.
 namespace Lovageloft
 {
 
@@ -19,8 +19,8 @@
     Ok,
     Conflict, ///< The key's revision was not the expected one; nothing was written.
     NotFound, ///< No such key or lease.
-    Unavailable, ///< No answer, and nothing was written: the call never left, or the store refused it.
-    AnswerLost, ///< The call left and no answer came: a write may or may not have taken effect.
+    Unavailable, ///< No answer, and nothing was written: the call was not sent, or the store refused it.
+    AnswerLost, ///< The call was sent and no answer arrived: a write may or may not have taken effect.
 };
 
 /// A key with its value.
@@ -28,33 +28,33 @@
 {
     std::string key;
     std::string value;
-    std::int64_t revision = 0; ///< Position of the last write to this key, from 1 on; 0 for a key that does not exist.
-    bool isDeleted = false; ///< In a watch: the key was deleted or its lease lapsed.
+    std::int64_t revision = 0; ///< Position of the last write to this key (see store_position.h), at least 1; 0 if the key does not exist.
+    bool isDeleted = false; ///< In a watch reply: the key was deleted or its lease expired.
 };
 
-/// Answer to a call about one key. After a Conflict `entry` holds the key as it stands, where the store tells.
+/// Reply to a call for one key. After a Conflict, `entry` holds the current key if the store returns it.
 struct StoreReply
 {
     StoreStatus status = StoreStatus::Unavailable;
     StoreEntry entry;
-    Duration age{}; ///< How long before the call was made the answer held; above zero if somebody else asked the store.
+    Duration age{}; ///< How long before the call the reply was known to be true; above zero if another host asked the store.
 };
 
-/// Answer to a list or a watch. `revision` is the store's revision that the answer reflects.
+/// Reply to a list or a watch. `revision` is the store's revision that the reply reflects.
 struct StoreListReply
 {
     StoreStatus status = StoreStatus::Unavailable;
-    std::vector<StoreEntry> entries; ///< A list: ascending by key. A watch: in the order of the writes.
+    std::vector<StoreEntry> entries; ///< Of a list: ascending by key. Of a watch: in the order of the writes.
     std::int64_t revision = 0;
-    Duration silence{}; ///< From a store that hears of changes through others: for how long before the entries came they were silent.
-    Duration age{}; ///< The same: how long before the call was made the answer held.
+    Duration silence{}; ///< From a store that receives changes through other hosts: how long those were silent before the entries arrived.
+    Duration age{}; ///< From such a store: how long before the call the reply was known to be true.
 
-    /// The same: for how long before the entries came the store had answered nobody, so that leases may have run out; nothing if that is
-    /// not known.
+    /// From such a store: how long the store had answered no host before the entries arrived, so that leases may have expired; nothing if
+    /// that is not known.
     std::optional<Duration> outage{};
 };
 
-/// Answer to a call about a lease.
+/// Reply to a call for a lease.
 struct StoreLeaseReply
 {
     StoreStatus status = StoreStatus::Unavailable;
@@ -62,7 +62,7 @@
     Duration timeToLive{};
 };
 
-/// The platform's key-value service. One call is one attempt, without retries; callers decide what a lost answer means.
+/// The platform's key-value service. Each call is a single attempt without retries; the caller decides how to handle a lost answer.
 class Store
 {
 public:
@@ -71,7 +71,7 @@
     Store &operator=(const Store &) = delete;
     virtual ~Store() = default;
 
-    /// The era that the store was last seen in; see coordination/store_position.h. 0 for one without eras.
+    /// The era in which the store was last observed; see coordination/store_position.h. 0 for a store without eras.
     virtual std::int64_t era() const
     {
         return 0;
@@ -79,8 +79,8 @@
 
     virtual StoreReply get(std::string_view key) = 0;
 
-    /// Asks whether the key's last write is still that of `revision`: Ok if so, Conflict if not. As linearizable as `get`, but
-    /// a driver may answer it without moving the value.
+    /// Checks whether the last write to the key is still that of `revision`: Ok if so, Conflict if not. Linearizable like `get`, but a
+    /// driver may answer without transferring the value.
     virtual StoreReply confirm(std::string_view key, std::int64_t revision)
     {
         StoreReply reply = get(key);
@@ -90,17 +90,18 @@
         return reply;
     }
 
-    /// All keys that begin with `prefix`.
+    /// Returns all keys that start with `prefix`.
     virtual StoreListReply list(std::string_view prefix) = 0;
 
-    /// Writes `value` if the key's revision is `expectedRevision` (0: the key must not exist). `leaseId` 0 is no lease.
+    /// Writes `value` if the key's revision is `expectedRevision` (0: the key must not exist). A `leaseId` of 0 attaches no lease.
     virtual StoreReply compareAndSwap(std::string_view key, std::int64_t expectedRevision, std::string_view value, std::int64_t leaseId = 0) = 0;
 
     /// Deletes the key if its revision is `expectedRevision`.
     virtual StoreReply compareAndDelete(std::string_view key, std::int64_t expectedRevision) = 0;
 
-    /// Waits up to `timeout` for writes under `prefix` after `afterRevision`; Ok with no entries when none came. NotFound: the store
-    /// has forgotten writes after that revision, and the keys have to be listed again; `revision` is then the oldest to go on from.
+    /// Waits up to `timeout` for writes under `prefix` after `afterRevision`; Ok without entries if there were none. NotFound: the store
+    /// has compacted writes after that revision, and the keys have to be listed again; `revision` is then the oldest one from which a
+    /// watch can continue.
     virtual StoreListReply watch(std::string_view prefix, std::int64_t afterRevision, Duration timeout) = 0;
 
     virtual StoreLeaseReply grantLease(Duration timeToLive) = 0;
--- a/coordination/store_position.h
+++ b/coordination/store_position.h
@@ -2,9 +2,10 @@
 
 #include <cstdint>
 
-/// A store that comes back from an older copy gives revisions out a second time; its era, which rises each time, tells them apart. A driver that
-/// can tell eras puts them above the store's own revisions, so that all revisions of this system go on rising, in comparisons, in datagrams
-/// between hosts and as fencing tokens. Without eras a position is the store's revision.
+/// A position orders writes across restores of the store. A store that is restored from an older backup assigns the same revisions again;
+/// its era, which rises with each restore, distinguishes them. A driver that knows the era puts it in the bits above the store's own
+/// revision, so that all revisions of this system keep rising: in comparisons, in datagrams between hosts and as fencing tokens. Without
+/// eras a position equals the store's revision.
 namespace Lovageloft
 {
 
@@ -12,7 +13,7 @@
 inline constexpr std::int64_t revisionsPerEra = std::int64_t{1} << revisionBits;
 inline constexpr std::int64_t maxEras = std::int64_t{1} << (62 - revisionBits);
 
-/// Zero, which stands for no revision, stays zero.
+/// Combines an era and a revision. Zero means no revision and stays zero.
 constexpr std::int64_t positionOf(std::int64_t era, std::int64_t revision)
 {
     return revision == 0 ? 0 : era * revisionsPerEra + revision;
--- a/tests/coordination/faulty_store.h
+++ b/tests/coordination/faulty_store.h
@@ -12,8 +12,8 @@
 namespace Lovageloft
 {
 
-/// A store in memory that fails as the platform's does: it is down, loses answers before or after a write took effect, and lets
-/// a write whose answer was lost arrive much later. Calls happen one after another, so that a seed repeats a run.
+/// An in-memory store with the failures of the platform's: it is down, loses answers before or after a write takes effect, or applies a write
+/// whose answer was lost much later. Calls are made one after another, so that a seed reproduces a run.
 class FaultyStore : public Store
 {
 public:
@@ -23,7 +23,7 @@
         Down, ///< The call fails at once and nothing is written.
         LostAfterWrite,
         LostBeforeWrite,
-        DelayedWrite, ///< The answer is lost, and the write is carried out before some later call.
+        DelayedWrite, ///< The answer is lost, and the write is applied before some later call.
     };
 
     using ChooseFault = std::function<Fault()>;
@@ -38,35 +38,35 @@
         chooseFault_ = std::move(chooseFault);
     }
 
-    /// Runs before each write, for another operator who comes in between.
+    /// Sets a function that runs before each write, to simulate a concurrent operator.
     void setBeforeWrite(std::function<void()> beforeWrite)
     {
         beforeWrite_ = std::move(beforeWrite);
     }
 
-    /// Carries out the writes that are still on their way.
+    /// Applies the writes that are still in transit.
     void applyPendingWrites()
     {
-        for (const LateWrite &write : std::exchange(late_, {})) {
+        for (const PendingWrite &write : std::exchange(pendingWrites_, {})) {
             memory_.compareAndSwap(write.key, write.expectedRevision, write.value, 0);
         }
     }
 
     std::size_t readCount() const
     {
-        return reads_;
+        return readCount_;
     }
 
     StoreReply get(std::string_view key) override
     {
-        ++reads_;
+        ++readCount_;
         const Fault fault = nextFault();
         return fault == Fault::None ? memory_.get(key) : StoreReply{failure(fault), {}};
     }
 
     StoreListReply list(std::string_view prefix) override
     {
-        ++reads_;
+        ++readCount_;
         const Fault fault = nextFault();
         return fault == Fault::None ? memory_.list(prefix) : StoreListReply{failure(fault), {}, 0};
     }
@@ -84,7 +84,7 @@
             memory_.compareAndSwap(key, expectedRevision, value, leaseId);
         }
         if (fault == Fault::DelayedWrite) {
-            late_.push_back({std::string(key), expectedRevision, std::string(value)});
+            pendingWrites_.push_back({std::string(key), expectedRevision, std::string(value)});
         }
         return {failure(fault), {}};
     }
@@ -115,7 +115,7 @@
     }
 
 private:
-    struct LateWrite
+    struct PendingWrite
     {
         std::string key;
         std::int64_t expectedRevision = 0;
@@ -136,8 +136,8 @@
     MemoryStore memory_;
     ChooseFault chooseFault_;
     std::function<void()> beforeWrite_;
-    std::vector<LateWrite> late_;
-    std::size_t reads_ = 0;
+    std::vector<PendingWrite> pendingWrites_;
+    std::size_t readCount_ = 0;
 };
 
 } // namespace Lovageloft
--- a/tests/coordination/lossy_store.h
+++ b/tests/coordination/lossy_store.h
@@ -10,7 +10,7 @@
 namespace Lovageloft
 {
 
-/// A store in memory with outages, whose answers get lost before, after and long before a write takes effect.
+/// An in-memory store with outages, which loses answers before, after and long before a write takes effect.
 class LossyStore : public MemoryStore
 {
 public:
@@ -51,7 +51,7 @@
     }
 
     bool isDown = false;
-    bool losesAnswers = false; ///< Writes take effect, and nobody is told.
+    bool losesAnswers = false; ///< Writes take effect, but no answer arrives.
     std::size_t lossPercent = 0;
     int calls = 0;
 
@@ -71,9 +71,9 @@
     StoreReply write(const Write &apply)
     {
         ++calls;
-        if (!delayed_.empty() && chance(20)) {
-            delayed_.back()();
-            delayed_.pop_back();
+        if (!delayedWrites_.empty() && chance(20)) {
+            delayedWrites_.back()();
+            delayedWrites_.pop_back();
         }
         if (!isFailing()) {
             const StoreReply reply = apply();
@@ -83,7 +83,7 @@
             return {StoreStatus::Unavailable, {}};
         }
         if (chance(30)) {
-            delayed_.push_back(apply);
+            delayedWrites_.push_back(apply);
         } else if (!isDown && chance(50)) {
             apply();
         }
@@ -91,7 +91,7 @@
     }
 
     Random random_;
-    std::vector<Write> delayed_;
+    std::vector<Write> delayedWrites_;
 };
 
 } // namespace Lovageloft
--- a/tests/coordination/virtual_time.h
+++ b/tests/coordination/virtual_time.h
@@ -11,7 +11,7 @@
 namespace Lovageloft
 {
 
-/// A clock that stands still but between actions, which run in the order of their times.
+/// A simulated clock. Time advances only from one scheduled action to the next; actions run in the order of their times.
 class VirtualTime
 {
 public:
@@ -30,7 +30,7 @@
         events_.push({now_ + delay, ++order_, std::move(action)});
     }
 
-    /// Runs all actions before `end`, and `check` after each.
+    /// Runs all actions that are due before `end`, and `check` after each.
     void runUntil(
         TimePoint end, const std::function<void()> &check = [] {})
     {
