--- a/coordination/backoff.cpp
+++ b/coordination/backoff.cpp
@@ -5,31 +5,31 @@
 namespace Lovageloft
 {
 
-Backoff::Backoff(Duration first, Duration longest, const Random &random)
+Backoff::Backoff(Duration initialDelay, Duration maxDelay, const Random &random)
     : random_(random)
-    , first_(first)
-    , longest_(longest)
-    , pause_(first)
+    , initialDelay_(initialDelay)
+    , maxDelay_(maxDelay)
+    , delay_(initialDelay)
 {
 }
 
-void Backoff::setMaxDelay(Duration longest)
+void Backoff::setMaxDelay(Duration maxDelay)
 {
-    longest_ = longest;
+    maxDelay_ = maxDelay;
 }
 
 Duration Backoff::nextDelay()
 {
-    pause_ = std::min(pause_, longest_);
-    const Duration half = pause_ / 2;
+    delay_ = std::min(delay_, maxDelay_);
+    const Duration half = delay_ / 2;
     const Duration drawn = half + randomUpTo(random_, half);
-    pause_ *= 2;
+    delay_ *= 2;
     return drawn;
 }
 
 void Backoff::reset()
 {
-    pause_ = first_;
+    delay_ = initialDelay_;
 }
 
 } // namespace Lovageloft
--- a/coordination/backoff.h
+++ b/coordination/backoff.h
@@ -6,25 +6,25 @@
 namespace Lovageloft
 {
 
-/// Pauses between failed calls: they double up to a longest one and are drawn at random, so that hosts that lost a service together don't come
-/// back together.
+/// Exponential backoff with jitter after failed calls: delays double up to a maximum and are randomized, so that hosts that lost a service at
+/// the same time don't retry at the same time.
 class Backoff
 {
 public:
-    Backoff(Duration first, Duration longest, const Random &random);
+    Backoff(Duration initialDelay, Duration maxDelay, const Random &random);
 
-    void setMaxDelay(Duration longest);
+    void setMaxDelay(Duration maxDelay);
 
-    /// The pause after one more failure.
+    /// Returns the delay after one more failure: at random between half of the current delay and all of it.
     Duration nextDelay();
 
     void reset();
 
 private:
     Random random_;
-    Duration first_;
-    Duration longest_;
-    Duration pause_;
+    Duration initialDelay_;
+    Duration maxDelay_;
+    Duration delay_;
 };
 
 } // namespace Lovageloft
--- a/coordination/broadcast_plan.cpp
+++ b/coordination/broadcast_plan.cpp
@@ -17,7 +17,7 @@
     }
 }
 
-/// Draws the forwarders among these receivers and divides the others evenly.
+/// Chooses the forwarders among these receivers at random and distributes the others evenly.
 void addBranches(std::vector<BroadcastBranch> &branches, std::vector<std::size_t> &receivers, std::size_t forwarders, Random &random)
 {
     shuffle(receivers, random);
@@ -41,10 +41,10 @@
     }
     std::vector<BroadcastBranch> branches;
     for (auto &[dataCentre, receivers] : groups) {
-        // With this many in each of g groups of n, both the sender and each forwarder send the root of g n.
-        const double even = std::sqrt(static_cast<double>(receivers.size()) / static_cast<double>(groups.size()));
-        const bool isDirect = dataCentres.size() <= mostDirectReceivers;
-        addBranches(branches, receivers, isDirect ? receivers.size() : static_cast<std::size_t>(std::ceil(even)), random);
+        // With this many forwarders in each of g groups of n receivers, the sender and each forwarder send about sqrt(g * n) datagrams.
+        const double forwarderCount = std::sqrt(static_cast<double>(receivers.size()) / static_cast<double>(groups.size()));
+        const bool isDirect = dataCentres.size() <= maxDirectReceivers;
+        addBranches(branches, receivers, isDirect ? receivers.size() : static_cast<std::size_t>(std::ceil(forwarderCount)), random);
     }
     return branches;
 }
--- a/coordination/broadcast_plan.h
+++ b/coordination/broadcast_plan.h
@@ -9,21 +9,23 @@
 namespace Lovageloft
 {
 
-/// One datagram of a broadcast: the receiver that it is sent to, and those to which that one passes it on.
+/// One datagram of a broadcast: the receiver to which it is sent, and the receivers to which that one forwards it.
 struct BroadcastBranch
 {
-    std::size_t forwarder = 0; ///< Number of a receiver.
-    std::vector<std::size_t> receivers; ///< Numbers of others in the forwarder's data centre; empty if nothing is to be passed on.
+    std::size_t forwarder = 0; ///< Index of a receiver.
+    std::vector<std::size_t> receivers; ///< Indices of others in the forwarder's data centre; empty if nothing is to be forwarded.
 };
 
-/// Up to this many receivers the sender reaches each of them itself.
-inline constexpr std::size_t mostDirectReceivers = 16;
+/// Up to this many receivers, the sender sends to each of them directly.
+inline constexpr std::size_t maxDirectReceivers = 16;
 
-/// Who sends what to reach all receivers within two hops; `dataCentres` has for each of them the number of its data centre.
+/// Plans which host sends to which, so that a broadcast reaches all receivers within two hops. `dataCentres` holds the number of each
+/// receiver's data centre.
 ///
-/// Beyond mostDirectReceivers nobody sends more than about the root of their number: sent to each of 300 hosts by one of them, the changes of
-/// a hundred engines fill a link of 20 Mbit/s for seconds. What goes to another data centre is passed on within it, so that few copies cross.
-/// The forwarders are drawn anew for each broadcast: a dead one costs its receivers one datagram and not all.
+/// Beyond maxDirectReceivers no host sends more than about the square root of their number of datagrams: if one host sent the changes of a
+/// hundred engines to each of 300 hosts, it would fill a link of 20 Mbit/s for seconds. Datagrams for another data centre are forwarded within
+/// it, so that few copies cross. The forwarders are chosen at random for each broadcast, so that a dead one costs its receivers one datagram
+/// and not all.
 std::vector<BroadcastBranch> planBroadcast(std::span<const std::size_t> dataCentres, Random &random);
 
 } // namespace Lovageloft
--- a/coordination/candidacy.cpp
+++ b/coordination/candidacy.cpp
@@ -6,19 +6,19 @@
 namespace
 {
 
-/// Between two hosts in rank: some calls to the store, after which the others are told of the new leader.
-constexpr Duration rankPause = std::chrono::milliseconds(200);
+/// Delay between hosts of consecutive rank: time for some calls to the store, after which the others are notified of the new leader.
+constexpr Duration delayPerRank = std::chrono::milliseconds(200);
 
-/// Hosts that are not ranked come after this many ranks, drawn over a window that grows with the fleet.
-constexpr std::size_t ranks = 8;
-constexpr Duration windowPerHost = std::chrono::milliseconds(10);
+/// Hosts without a rank follow after this many ranks, at random times in a window that grows with the fleet.
+constexpr std::size_t rankedHosts = 8;
+constexpr Duration jitterPerHost = std::chrono::milliseconds(10);
 
-/// Between two looks at a key that nobody seems to take.
-constexpr Duration vacantPause = std::chrono::seconds(2);
+/// Between two reads of a key that no host seems to acquire.
+constexpr Duration vacantPollInterval = std::chrono::seconds(2);
 
-/// The first two look at a key that is held as well: a loss that nobody told of must not last.
-constexpr std::size_t watchfulRanks = 2;
-constexpr Duration heldPause = std::chrono::seconds(20);
+/// The first two hosts also read a key that is held, so that the loss of a leader is detected even if no host reports it.
+constexpr std::size_t monitoringRanks = 2;
+constexpr Duration heldPollInterval = std::chrono::seconds(20);
 
 } // namespace
 
@@ -32,7 +32,7 @@
     hosts_ = hosts;
     if (rank_ != rank) {
         rank_ = rank;
-        lookAt_ = nextLook(leader_ == std::string() ? vacantSince_ : now);
+        nextPollAt_ = nextPollTime(leader_ == std::string() ? vacantSince_ : now);
     }
 }
 
@@ -43,30 +43,30 @@
     }
     leader_ = host;
     vacantSince_ = now;
-    lookAt_ = nextLook(now);
+    nextPollAt_ = nextPollTime(now);
 }
 
 bool Candidacy::isDue(TimePoint now)
 {
-    if (!lookAt_ || now < *lookAt_) {
+    if (!nextPollAt_ || now < *nextPollAt_) {
         return false;
     }
-    lookAt_ = nextLook(now + vacantPause);
+    nextPollAt_ = nextPollTime(now + vacantPollInterval);
     return true;
 }
 
-std::optional<TimePoint> Candidacy::nextLook(TimePoint from)
+std::optional<TimePoint> Candidacy::nextPollTime(TimePoint from)
 {
     if (!leader_) {
         return std::nullopt;
     }
     if (!leader_->empty()) {
-        return rank_ && *rank_ < watchfulRanks ? std::optional(from + heldPause) : std::nullopt;
+        return rank_ && *rank_ < monitoringRanks ? std::optional(from + heldPollInterval) : std::nullopt;
     }
     if (rank_) {
-        return from + rankPause * *rank_;
+        return from + delayPerRank * *rank_;
     }
-    return from + rankPause * ranks + windowPerHost * randomBelow(random_, hosts_ + 1);
+    return from + delayPerRank * rankedHosts + jitterPerHost * randomBelow(random_, hosts_ + 1);
 }
 
 } // namespace Lovageloft
--- a/coordination/circuit_breaker.cpp
+++ b/coordination/circuit_breaker.cpp
@@ -8,25 +8,25 @@
 namespace
 {
 
-constexpr Duration firstPause = std::chrono::milliseconds(100);
+constexpr Duration initialOpenDuration = std::chrono::milliseconds(100);
 
 } // namespace
 
 CircuitBreaker::CircuitBreaker(const Random &random)
     : random_(random)
-    , backoff_(firstPause, firstPause, random)
+    , backoff_(initialOpenDuration, initialOpenDuration, random)
 {
 }
 
-void CircuitBreaker::setMaxOpenDuration(Duration longest)
+void CircuitBreaker::setMaxOpenDuration(Duration maxOpenDuration)
 {
-    longest_ = longest;
-    backoff_.setMaxDelay(longest);
+    maxOpenDuration_ = maxOpenDuration;
+    backoff_.setMaxDelay(maxOpenDuration);
 }
 
 bool CircuitBreaker::isClosed(TimePoint now) const
 {
-    return longest_ == Duration::zero() || now >= nextCallAt_;
+    return maxOpenDuration_ == Duration::zero() || now >= nextCallAt_;
 }
 
 void CircuitBreaker::onSuccess()
@@ -37,8 +37,8 @@
 
 void CircuitBreaker::onFailure(TimePoint now)
 {
-    const bool wasMadeBefore = now < nextCallAt_; // Before the last one failed.
-    if (longest_ > Duration::zero() && !wasMadeBefore) {
+    const bool wasStartedBeforeLastFailure = now < nextCallAt_; // No call starts while the breaker is open.
+    if (maxOpenDuration_ > Duration::zero() && !wasStartedBeforeLastFailure) {
         nextCallAt_ = now + backoff_.nextDelay();
     }
 }
--- a/coordination/circuit_breaker.h
+++ b/coordination/circuit_breaker.h
@@ -5,27 +5,28 @@
 namespace Lovageloft
 {
 
-/// A circuit breaker before a service that all hosts of a fleet call: after a call that failed none is made for a while, which doubles up to a
-/// limit that grows with the fleet. While the service is away hundreds of hosts with several duties each would else keep calling it.
+/// A circuit breaker for a service that all hosts of a fleet call: after a failed call no call is made for a time that doubles up to a
+/// maximum, which grows with the fleet. Otherwise hundreds of hosts with several duties each would keep calling the service while it is
+/// unavailable.
 class CircuitBreaker
 {
 public:
     explicit CircuitBreaker(const Random &random);
 
-    /// Longest pause; with zero all calls are let through.
-    void setMaxOpenDuration(Duration longest);
+    /// Sets the maximum time without calls after a failure; with zero all calls are allowed.
+    void setMaxOpenDuration(Duration maxOpenDuration);
 
     bool isClosed(TimePoint now) const;
     void onSuccess();
     void onFailure(TimePoint now);
 
-    /// Others are answered: the next call may come within this time.
+    /// Other hosts received answers: allows the next call at a random time within `window`, if it isn't allowed sooner.
     void onPeersAnswered(TimePoint now, Duration window);
 
 private:
     Random random_;
     Backoff backoff_;
-    Duration longest_{};
+    Duration maxOpenDuration_{};
     TimePoint nextCallAt_;
 };
 
--- a/coordination/crash_quarantine.cpp
+++ b/coordination/crash_quarantine.cpp
@@ -8,14 +8,14 @@
 namespace
 {
 
-constexpr std::size_t mostSuspects = 4'096;
-constexpr std::size_t mostQuarantined = 1'024;
+constexpr std::size_t maxSuspects = 4'096;
+constexpr std::size_t maxQuarantined = 1'024;
 
-/// Crashes further apart than this are not counted together: any request is unlucky now and then.
-constexpr Duration suspicionTime = std::chrono::minutes(2);
+/// Crashes further apart than this are not counted together: now and then any request runs on a target that crashes for another reason.
+constexpr Duration suspicionWindow = std::chrono::minutes(2);
 
-/// A request may do no harm any more once targets have been mended.
-constexpr Duration quarantineTime = std::chrono::minutes(10);
+/// Quarantine ends after this time, because the request may be harmless once the targets have been fixed.
+constexpr Duration quarantineDuration = std::chrono::minutes(10);
 
 } // namespace
 
@@ -31,16 +31,16 @@
 
 bool CrashQuarantine::countCrash(const CrashReport &report, TimePoint now)
 {
-    forgetOld(now);
+    evictSuspects(now);
     const auto [entry, isNew] = suspects_.try_emplace(report.request);
     Suspect &suspect = entry->second;
     if (isNew) {
         suspectOrder_.push_back(report.request);
     }
-    if (now - suspect.lastAt > suspicionTime) {
+    if (now - suspect.lastCrashAt > suspicionWindow) {
         suspect.crashes = 0;
     }
-    suspect.lastAt = now;
+    suspect.lastCrashAt = now;
     const auto end = suspect.targets.begin() + static_cast<std::ptrdiff_t>(suspect.crashes);
     if (suspect.crashes < maxCrashes && std::find(suspect.targets.begin(), end, report.target) == end) {
         suspect.targets.at(suspect.crashes++) = report.target;
@@ -53,10 +53,10 @@
     if (!isSuspect(request) || contains(request, now)) {
         return false;
     }
-    if (quarantined_.insert_or_assign(request, now + quarantineTime).second) {
+    if (quarantined_.insert_or_assign(request, now + quarantineDuration).second) {
         quarantineOrder_.push_back(request);
     }
-    if (quarantineOrder_.size() > mostQuarantined) {
+    if (quarantineOrder_.size() > maxQuarantined) {
         quarantined_.erase(quarantineOrder_.front());
         quarantineOrder_.pop_front();
     }
@@ -74,12 +74,12 @@
     return static_cast<std::size_t>(std::count_if(quarantined_.begin(), quarantined_.end(), [now](const auto &entry) { return now < entry.second; }));
 }
 
-void CrashQuarantine::forgetOld(TimePoint now)
+void CrashQuarantine::evictSuspects(TimePoint now)
 {
     while (!suspectOrder_.empty()) {
         const auto oldest = suspects_.find(suspectOrder_.front());
-        const bool isFull = suspectOrder_.size() > mostSuspects;
-        if (!isFull && now - oldest->second.lastAt <= suspicionTime) {
+        const bool isFull = suspectOrder_.size() > maxSuspects;
+        if (!isFull && now - oldest->second.lastCrashAt <= suspicionWindow) {
             return;
         }
         suspects_.erase(oldest);
--- a/coordination/crash_quarantine.h
+++ b/coordination/crash_quarantine.h
@@ -13,40 +13,41 @@
 namespace Lovageloft
 {
 
-/// A target ended, or broke off, before it had begun to answer a request.
+/// Reports that a target crashed, or closed the connection, before it began to answer a request.
 struct CrashReport
 {
     RequestFingerprint request{};
-    std::uint64_t target = 0; ///< Digest of the target's name and start.
+    std::uint64_t target = 0; ///< Hash of the target's name and start.
 };
 
-/// Keeps a request that ends the targets that run it from ending a whole fleet of them.
+/// Prevents a request that crashes each target that runs it from crashing a whole fleet.
 ///
-/// The load it is made for: a request that crashes each engine that begins to run it, and that comes again at any host. No host sees enough
-/// of its tries to tell, so each tells the request's homes of a target that it lost with it; a home that has heard of `maxCrashes`
-/// different targets puts the request into quarantine and tells all hosts. Requests that were answered once, such as those that happened to
-/// run beside it, are not held against. Bounded in entries; the oldest go first.
+/// It is designed for a request that crashes each engine that begins to run it, and that callers retry at any host. No single host sees enough
+/// of the attempts to detect this, so each host reports a target that it lost with the request to the request's home hosts, which rendezvous
+/// hashing selects. A home host that received reports of `maxCrashes` different targets quarantines the request and notifies all hosts.
+/// Requests that were answered once, such as those that happened to run beside it, are not suspected. The number of entries is limited; the
+/// oldest are evicted first.
 class CrashQuarantine
 {
 public:
-    /// Different targets that a request may end before it is refused.
+    /// Number of different targets that a request may crash before it is refused.
     static constexpr std::size_t maxCrashes = 3;
 
-    /// This host has had an answer to the request, or the begin of one.
+    /// Records that this host received an answer to the request, or the beginning of one.
     void noteAnswered(RequestFingerprint request);
 
-    /// Whether the loss of a target with this request is to be told to its homes.
+    /// Whether the loss of a target with this request is to be reported to its home hosts.
     bool isSuspect(RequestFingerprint request) const;
 
-    /// A home's part: whether the request has now ended as many targets as it may.
+    /// Counts a crash on a home host; returns whether the request has now crashed `maxCrashes` different targets.
     bool countCrash(const CrashReport &report, TimePoint now);
 
-    /// Puts a request into quarantine; false if it was there or is known to do no harm.
+    /// Quarantines a request; returns false if it was quarantined already or is known to be harmless.
     bool add(RequestFingerprint request, TimePoint now);
 
     bool contains(RequestFingerprint request, TimePoint now) const;
 
-    /// Requests in quarantine.
+    /// Number of requests in quarantine.
     std::size_t size(TimePoint now) const;
 
 private:
@@ -54,17 +55,17 @@
     {
         std::array<std::uint64_t, maxCrashes> targets{};
         std::size_t crashes = 0;
-        TimePoint lastAt;
+        TimePoint lastCrashAt;
     };
 
-    void forgetOld(TimePoint now);
+    void evictSuspects(TimePoint now);
 
     static constexpr std::size_t answeredSlots = 8'192;
 
-    std::vector<RequestFingerprint> answered_ = std::vector<RequestFingerprint>(answeredSlots); ///< By the lower bits; newer ones replace older ones.
+    std::vector<RequestFingerprint> answered_ = std::vector<RequestFingerprint>(answeredSlots); ///< Indexed by the lower bits; newer ones replace older ones.
     std::unordered_map<RequestFingerprint, Suspect> suspects_;
-    std::deque<RequestFingerprint> suspectOrder_; ///< In the order of their first crash.
-    std::unordered_map<RequestFingerprint, TimePoint> quarantined_; ///< Until when.
+    std::deque<RequestFingerprint> suspectOrder_; ///< In the order of the first crash.
+    std::unordered_map<RequestFingerprint, TimePoint> quarantined_; ///< Time at which the quarantine ends.
     std::deque<RequestFingerprint> quarantineOrder_;
 };
 
--- a/coordination/lease_holder.cpp
+++ b/coordination/lease_holder.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// Keep-alives per life of a lease: two may be lost in a row.
-constexpr int keepAlivesPerLife = 3;
+/// Keep-alives per time to live of the lease: two in a row may be lost.
+constexpr int keepAlivesPerTimeToLive = 3;
 
 } // namespace
 
@@ -26,24 +26,24 @@
 void LeaseHolder::step(TimePoint now)
 {
     if (now >= nextStep_) {
-        (this->*next_)(now);
+        (this->*step_)(now);
     }
-    noteEra(now);
+    checkEra(now);
 }
 
-/// A store that came back from an older copy may have given the key to another, or may do so at any moment.
-void LeaseHolder::noteEra(TimePoint now)
+/// A store that was restored from an older backup may have given the key to another host, or may do so at any moment.
+void LeaseHolder::checkEra(TimePoint now)
 {
     const std::int64_t era = store_.era();
-    if (era == era_) {
+    if (era == lastEra_) {
         return;
     }
-    if (era_ != 0) {
-        otherHolderUntil_ = now + options_.timeToLive + options_.margin;
+    if (lastEra_ != 0) {
+        previousEraHolderUntil_ = now + options_.timeToLive + options_.margin;
     }
-    era_ = era;
+    lastEra_ = era;
     if (token_ != 0 && eraOf(token_) != era) {
-        lose(now);
+        onLost(now);
     }
 }
 
@@ -54,7 +54,7 @@
 
 void LeaseHolder::pollNow(TimePoint now)
 {
-    if (next_ == &LeaseHolder::poll) {
+    if (step_ == &LeaseHolder::pollKey) {
         nextStep_ = std::min(nextStep_, now);
     }
 }
@@ -71,7 +71,7 @@
 
 TimePoint LeaseHolder::settledAt() const
 {
-    return std::max(acquiredAt_ + options_.settleTime.value_or(options_.timeToLive + options_.margin), otherHolderUntil_);
+    return std::max(acquiredAt_ + options_.settleTime.value_or(options_.timeToLive + options_.margin), previousEraHolderUntil_);
 }
 
 void LeaseHolder::release(TimePoint now)
@@ -79,99 +79,99 @@
     if (token_ == 0) {
         return;
     }
-    removedToken_ = token_;
+    releasedToken_ = token_;
     token_ = 0;
-    next(&LeaseHolder::remove, now);
+    schedule(&LeaseHolder::deleteKey, now);
 }
 
-void LeaseHolder::poll(TimePoint now)
+void LeaseHolder::pollKey(TimePoint now)
 {
     const StoreReply reply = store_.get(key_);
     if (reply.status == StoreStatus::NotFound) {
-        next(&LeaseHolder::grant, now);
+        schedule(&LeaseHolder::requestLease, now);
     } else {
-        next(&LeaseHolder::poll, now + (reply.status == StoreStatus::Ok ? options_.pollInterval : options_.retryDelay));
+        schedule(&LeaseHolder::pollKey, now + (reply.status == StoreStatus::Ok ? options_.pollInterval : options_.retryDelay));
     }
 }
 
-void LeaseHolder::grant(TimePoint now)
+void LeaseHolder::requestLease(TimePoint now)
 {
     const StoreLeaseReply reply = store_.grantLease(options_.timeToLive);
     if (reply.status != StoreStatus::Ok) {
-        next(&LeaseHolder::poll, now + options_.retryDelay);
+        schedule(&LeaseHolder::pollKey, now + options_.retryDelay);
         return;
     }
     leaseId_ = reply.leaseId;
     deadline_ = now + options_.timeToLive - options_.margin;
-    next(&LeaseHolder::create, now);
+    schedule(&LeaseHolder::createKey, now);
 }
 
-void LeaseHolder::create(TimePoint now)
+void LeaseHolder::createKey(TimePoint now)
 {
-    const StoreReply reply = store_.compareAndSwap(key_, 0, value(), leaseId_);
+    const StoreReply reply = store_.compareAndSwap(key_, 0, keyValue(), leaseId_);
     if (reply.status == StoreStatus::Ok) {
-        acquired(reply.entry.revision, now);
+        onAcquired(reply.entry.revision, now);
     } else if (reply.status == StoreStatus::AnswerLost || reply.status == StoreStatus::Conflict) {
-        next(&LeaseHolder::readBack, now);
+        schedule(&LeaseHolder::readBack, now);
     } else {
-        next(&LeaseHolder::poll, now + options_.retryDelay);
+        schedule(&LeaseHolder::pollKey, now + options_.retryDelay);
     }
 }
 
 void LeaseHolder::readBack(TimePoint now)
 {
-    // A lost answer may hide a success. The value names the process and its lease, so that it can't be another's.
+    // The write may have succeeded although its answer was lost. The value contains the process and its lease, so it can't be another's.
     const StoreReply reply = store_.get(key_);
-    if (reply.status == StoreStatus::Ok && reply.entry.value == value()) {
-        acquired(reply.entry.revision, now);
+    if (reply.status == StoreStatus::Ok && reply.entry.value == keyValue()) {
+        onAcquired(reply.entry.revision, now);
     } else {
-        next(&LeaseHolder::poll, now + (reply.status == StoreStatus::Ok ? options_.pollInterval : options_.retryDelay));
+        schedule(&LeaseHolder::pollKey, now + (reply.status == StoreStatus::Ok ? options_.pollInterval : options_.retryDelay));
     }
 }
 
 void LeaseHolder::keepAlive(TimePoint now)
 {
     if (now >= deadline_) {
-        lose(now);
+        onLost(now);
         return;
     }
     const StoreLeaseReply reply = store_.keepAlive(leaseId_);
     if (reply.status == StoreStatus::NotFound) {
-        lose(now);
+        onLost(now);
         return;
     }
     if (reply.status == StoreStatus::Ok) {
         deadline_ = now + options_.timeToLive - options_.margin;
     }
-    next(&LeaseHolder::keepAlive, now + options_.timeToLive / keepAlivesPerLife);
+    schedule(&LeaseHolder::keepAlive, now + options_.timeToLive / keepAlivesPerTimeToLive);
 }
 
-void LeaseHolder::remove(TimePoint now)
+void LeaseHolder::deleteKey(TimePoint now)
 {
-    store_.compareAndDelete(key_, removedToken_);
-    next(&LeaseHolder::poll, now + options_.pollInterval);
+    store_.compareAndDelete(key_, releasedToken_);
+    schedule(&LeaseHolder::pollKey, now + options_.pollInterval);
 }
 
-void LeaseHolder::acquired(std::int64_t revision, TimePoint now)
+void LeaseHolder::onAcquired(std::int64_t revision, TimePoint now)
 {
     token_ = revision;
     acquiredAt_ = now;
-    next(&LeaseHolder::keepAlive, now + options_.timeToLive / keepAlivesPerLife);
+    schedule(&LeaseHolder::keepAlive, now + options_.timeToLive / keepAlivesPerTimeToLive);
 }
 
-void LeaseHolder::lose(TimePoint now)
+void LeaseHolder::onLost(TimePoint now)
 {
     token_ = 0;
-    next(&LeaseHolder::poll, now + options_.retryDelay);
+    schedule(&LeaseHolder::pollKey, now + options_.retryDelay);
 }
 
-void LeaseHolder::next(Step step, TimePoint time)
+void LeaseHolder::schedule(Step step, TimePoint time)
 {
-    next_ = step;
+    step_ = step;
     nextStep_ = time;
 }
 
-std::string LeaseHolder::value() const
+std::string LeaseHolder::keyValue() const
 {
     return holder_ + " lease " + std::to_string(leaseId_);
 }
--- a/coordination/lease_holder.h
+++ b/coordination/lease_holder.h
@@ -10,76 +10,77 @@
 namespace Lovageloft
 {
 
-/// Times of a leadership lease.
+/// Timing of a leadership lease.
 struct LeaseOptions
 {
     Duration timeToLive = std::chrono::seconds(10);
-    Duration margin = std::chrono::seconds(2); ///< The holder stops this long before the store lets the lease lapse.
-    Duration pollInterval = std::chrono::seconds(2); ///< Between looks at a key that another host holds.
+    Duration margin = std::chrono::seconds(2); ///< The holder stops acting this long before the lease expires in the store.
+    Duration pollInterval = std::chrono::seconds(2); ///< Between reads of a key that another host holds.
     Duration retryDelay = std::chrono::seconds(2); ///< After a failed call.
-    std::optional<Duration> settleTime = std::nullopt; ///< See LeaseHolder::settledAt; the lease's life and the margin if not set.
+    std::optional<Duration> settleTime = std::nullopt; ///< See LeaseHolder::settledAt; if not set, the time to live and the margin.
 };
 
-/// Tries to hold one key of the store under a lease, so that one host at a time does a duty. A step machine: each step
-/// makes at most one call to the store. The key's revision is the fencing token; each new holder has a higher one.
+/// Acquires and holds one key of the store under a lease, so that one host at a time performs a duty. A state machine: each step makes at
+/// most one call to the store. The key's revision is the fencing token; each new holder gets a higher one.
 ///
-/// What goes wrong without the deadline: a holder is paused, its lease lapses, another host takes over, and the first
-/// wakes and goes on. So the holder counts its time from when it sent the last keep-alive, and asks right before each act.
+/// The deadline guards against a holder that is paused until its lease has expired and another host has taken over, and that then
+/// continues to act. The deadline therefore counts from when the last keep-alive was sent, and the holder checks it right before each action.
 class LeaseHolder
 {
 public:
-    /// `holder` names the process and must differ from any other's, also an earlier one's on this host.
+    /// `holder` identifies the process and must differ from that of any other process, including earlier ones on this host.
     LeaseHolder(Store &store, std::string_view key, std::string_view holder, LeaseOptions options = {});
 
-    /// Does what is due. Calls before nextStep() do nothing.
+    /// Performs the next step if it is due. Makes no call to the store before nextStep().
     void step(TimePoint now);
     TimePoint nextStep() const;
 
-    /// The key was seen to be gone: the next step is due now if this host holds nothing.
+    /// To be called when the key was seen to be deleted: the next read of the key is due now, if this host is polling it.
     void pollNow(TimePoint now);
 
-    /// Whether the lease may be acted on at `now`.
+    /// Whether this host may act under the lease at `now`.
     bool isHeld(TimePoint now) const;
 
-    /// The fencing token of the present holding, 0 without one.
+    /// The fencing token of the lease that is held; 0 if none is held.
     std::int64_t token() const;
 
-    /// From when on nothing that an earlier holder sent can still arrive, if messages take less than a lease's life:
-    /// the acquisition plus the life of a lease and the margin. Where every call is known to have ended sooner, LeaseOptions::settleTime
-    /// says so. After a change of the store's era the earlier holder may not have heard of it, so its lease is waited for in any case.
+    /// The time after which nothing that an earlier holder sent can still arrive, provided that messages take less than a lease's time to
+    /// live: the time of acquisition plus the time to live and the margin. Where every call is known to end sooner, LeaseOptions::settleTime
+    /// sets a shorter time. After a change of the store's era the earlier holder may not have noticed the change, so the expiry of its lease is
+    /// awaited in any case.
     TimePoint settledAt() const;
 
-    /// Stops at once, and frees the key with the next step.
+    /// Stops acting at once, and deletes the key with the next step.
     void release(TimePoint now);
 
 private:
     using Step = void (LeaseHolder::*)(TimePoint);
 
-    void noteEra(TimePoint now);
-    void poll(TimePoint now);
-    void grant(TimePoint now);
-    void create(TimePoint now);
+    void checkEra(TimePoint now);
+    void pollKey(TimePoint now);
+    void requestLease(TimePoint now);
+    void createKey(TimePoint now);
     void readBack(TimePoint now);
     void keepAlive(TimePoint now);
-    void remove(TimePoint now);
-    void acquired(std::int64_t revision, TimePoint now);
-    void lose(TimePoint now);
-    void next(Step step, TimePoint time);
-    std::string value() const;
+    void deleteKey(TimePoint now);
+    void onAcquired(std::int64_t revision, TimePoint now);
+    void onLost(TimePoint now);
+    void schedule(Step step, TimePoint time);
+    std::string keyValue() const;
 
     Store &store_;
     std::string key_;
     std::string holder_;
     LeaseOptions options_;
-    Step next_ = &LeaseHolder::poll;
+    Step step_ = &LeaseHolder::pollKey;
     TimePoint nextStep_;
     std::int64_t leaseId_ = 0;
     std::int64_t token_ = 0;
-    std::int64_t removedToken_ = 0;
+    std::int64_t releasedToken_ = 0;
     TimePoint deadline_;
     TimePoint acquiredAt_;
-    std::int64_t era_ = 0; ///< Last seen.
-    TimePoint otherHolderUntil_; ///< Until when a holder of the era before may act.
+    std::int64_t lastEra_ = 0;
+    TimePoint previousEraHolderUntil_; ///< Until when a holder from the previous era may act.
 };
 
 } // namespace Lovageloft
--- a/coordination/request_fingerprint.h
+++ b/coordination/request_fingerprint.h
@@ -6,12 +6,12 @@
 namespace Lovageloft
 {
 
-/// Digest of what makes a request the same one when it comes again: method, host, path, caller and body.
+/// Hash that identifies a request when it is repeated: of method, host, path, caller and body.
 enum class RequestFingerprint : std::uint64_t
 {
 };
 
-/// As it stands in logs and keys: 16 hexadecimal digits.
+/// The fingerprint as written in logs and keys: 16 hexadecimal digits.
 std::string fingerprintText(RequestFingerprint request);
 
 } // namespace Lovageloft
--- a/tests/coordination/test_broadcast_plan.cpp
+++ b/tests/coordination/test_broadcast_plan.cpp
@@ -12,14 +12,14 @@
 
 constexpr std::size_t fleetSizes[] = {0, 1, 8, 16, 17, 79, 294, 999};
 
-/// Receivers spread evenly over some data centres.
-std::vector<std::size_t> spread(std::size_t receivers, std::size_t dataCentres)
+/// Assigns receivers evenly to data centres.
+std::vector<std::size_t> assignDataCentres(std::size_t receivers, std::size_t dataCentres)
 {
-    std::vector<std::size_t> placed;
+    std::vector<std::size_t> dataCentreOf;
     for (std::size_t i = 0; i < receivers; ++i) {
-        placed.push_back(i % dataCentres);
+        dataCentreOf.push_back(i % dataCentres);
     }
-    return placed;
+    return dataCentreOf;
 }
 
 } // namespace
@@ -32,7 +32,7 @@
     for (const std::size_t count : fleetSizes) {
         for (const std::size_t dataCentres : {1U, 2U, 5U}) {
             std::vector<int> reached(count);
-            for (const BroadcastBranch &branch : planBroadcast(spread(count, dataCentres), random)) {
+            for (const BroadcastBranch &branch : planBroadcast(assignDataCentres(count, dataCentres), random)) {
                 ++reached.at(branch.forwarder);
                 for (const std::size_t receiver : branch.receivers) {
                     ++reached.at(receiver);
@@ -43,16 +43,16 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(nobodySendsMuchMoreThanTheRootOfTheFleet)
+BOOST_AUTO_TEST_CASE(noHostSendsMuchMoreThanTheSquareRootOfTheFleet)
 {
-    // Guards against one host's link being filled by what it tells hundreds of others.
+    // Guards against one host's link being saturated by what it sends to hundreds of others.
     Random random(2);
-    for (const auto &[count, most] : {std::pair(294U, 20U), std::pair(999U, 35U)}) {
+    for (const auto &[count, maxReceivers] : {std::pair(294U, 20U), std::pair(999U, 35U)}) {
         for (const std::size_t dataCentres : {1U, 5U, 8U}) {
-            const auto branches = planBroadcast(spread(count, dataCentres), random);
-            BOOST_TEST(branches.size() <= most + dataCentres);
+            const auto branches = planBroadcast(assignDataCentres(count, dataCentres), random);
+            BOOST_TEST(branches.size() <= maxReceivers + dataCentres);
             for (const BroadcastBranch &branch : branches) {
-                BOOST_TEST(branch.receivers.size() <= most);
+                BOOST_TEST(branch.receivers.size() <= maxReceivers);
             }
         }
     }
@@ -60,27 +60,27 @@
 
 BOOST_AUTO_TEST_CASE(fewCopiesCrossBetweenDataCentres)
 {
-    // Guards against notices to hundreds of hosts that make most of the bytes between data centres.
+    // Guards against notices to hundreds of hosts making up most of the traffic between data centres.
     Random random(3);
-    const auto placed = spread(294, 5);
+    const auto dataCentreOf = assignDataCentres(294, 5);
     std::size_t crossing = 0;
-    for (const BroadcastBranch &branch : planBroadcast(placed, random)) {
-        crossing += placed[branch.forwarder] != 0 ? 1 : 0;
-        BOOST_TEST(
-            std::all_of(branch.receivers.begin(), branch.receivers.end(), [&](std::size_t receiver) { return placed[receiver] == placed[branch.forwarder]; }));
+    for (const BroadcastBranch &branch : planBroadcast(dataCentreOf, random)) {
+        crossing += dataCentreOf[branch.forwarder] != 0 ? 1 : 0;
+        BOOST_TEST(std::all_of(
+            branch.receivers.begin(), branch.receivers.end(), [&](std::size_t receiver) { return dataCentreOf[receiver] == dataCentreOf[branch.forwarder]; }));
     }
     BOOST_TEST(crossing <= 16U);
 }
 
-BOOST_AUTO_TEST_CASE(aDeadForwarderIsNotUsedForAllBroadcasts)
+BOOST_AUTO_TEST_CASE(aDeadForwarderDoesNotCutReceiversOff)
 {
-    // Guards against a host that hears nothing for as long as another one is dead.
+    // Guards against a host that receives no broadcast for as long as one other host is dead.
     Random random(4);
     constexpr std::size_t dead = 7;
     constexpr std::size_t receiver = 102;
     int lost = 0;
     for (int i = 0; i < 200; ++i) {
-        for (const BroadcastBranch &branch : planBroadcast(spread(294, 5), random)) {
+        for (const BroadcastBranch &branch : planBroadcast(assignDataCentres(294, 5), random)) {
             const bool isBehindDead = branch.forwarder == dead && std::count(branch.receivers.begin(), branch.receivers.end(), receiver) == 1;
             lost += isBehindDead ? 1 : 0;
         }
@@ -91,7 +91,7 @@
 BOOST_AUTO_TEST_CASE(aSmallFleetIsReachedDirectly)
 {
     Random random(5);
-    for (const BroadcastBranch &branch : planBroadcast(spread(8, 3), random)) {
+    for (const BroadcastBranch &branch : planBroadcast(assignDataCentres(8, 3), random)) {
         BOOST_TEST(branch.receivers.empty());
     }
 }
--- a/tests/coordination/test_circuit_breaker.cpp
+++ b/tests/coordination/test_circuit_breaker.cpp
@@ -10,8 +10,8 @@
 
 const TimePoint start{1h};
 
-/// Calls within ten seconds of a host that tries at each millisecond and is never answered.
-int callsWithoutAnswer(CircuitBreaker &breaker)
+/// Number of calls within ten seconds by a host that tries every millisecond and never gets an answer.
+int countFailingCalls(CircuitBreaker &breaker)
 {
     int calls = 0;
     for (TimePoint now = start; now < start + 10s; now += 1ms) {
@@ -27,21 +27,21 @@
 
 BOOST_AUTO_TEST_SUITE(CircuitBreakerTest)
 
-BOOST_AUTO_TEST_CASE(aServiceThatIsAwayIsCalledSeldom)
+BOOST_AUTO_TEST_CASE(anUnavailableServiceIsCalledRarely)
 {
-    // Guards against hundreds of hosts that spend thousands of calls on a store that is down.
+    // Guards against hundreds of hosts that send thousands of calls to a store that is down.
     CircuitBreaker breaker{Random(1)};
     breaker.setMaxOpenDuration(3s);
-    BOOST_TEST(callsWithoutAnswer(breaker) < 12);
-    CircuitBreaker open{Random(1)};
-    BOOST_TEST(callsWithoutAnswer(open) == 10'000);
+    BOOST_TEST(countFailingCalls(breaker) < 12);
+    CircuitBreaker disabled{Random(1)};
+    BOOST_TEST(countFailingCalls(disabled) == 10'000);
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerEndsThePause)
+BOOST_AUTO_TEST_CASE(anAnswerClosesTheBreaker)
 {
     CircuitBreaker breaker{Random(2)};
     breaker.setMaxOpenDuration(3s);
-    callsWithoutAnswer(breaker);
+    countFailingCalls(breaker);
     breaker.onSuccess();
     BOOST_TEST(breaker.isClosed(start + 10s));
     breaker.onFailure(start + 10s);
@@ -49,7 +49,7 @@
     BOOST_TEST(breaker.isClosed(start + 10s + 100ms));
 }
 
-BOOST_AUTO_TEST_CASE(othersThatAreAnsweredShortenThePause)
+BOOST_AUTO_TEST_CASE(answersToPeersShortenTheDelay)
 {
     CircuitBreaker breaker{Random(3)};
     breaker.setMaxOpenDuration(60s);
--- a/tests/coordination/test_crash_quarantine.cpp
+++ b/tests/coordination/test_crash_quarantine.cpp
@@ -15,7 +15,7 @@
 
 BOOST_AUTO_TEST_SUITE(CrashQuarantineTest)
 
-BOOST_AUTO_TEST_CASE(differentTargetsCountAndOneThatBreaksOffAgainAndAgainDoesNot)
+BOOST_AUTO_TEST_CASE(onlyCrashesOfDifferentTargetsCount)
 {
     CrashQuarantine quarantine;
     for (int i = 0; i < 10; ++i) {
@@ -27,8 +27,8 @@
     BOOST_TEST(!quarantine.countCrash({RequestFingerprint{43}, 1}, start));
 }
 
-// Guards against requests that are refused because targets ended while they happened to run there.
-BOOST_AUTO_TEST_CASE(aRequestThatWasAnsweredIsNotHeldAgainst)
+// Guards against refusing requests that happened to run on targets that crashed for another reason.
+BOOST_AUTO_TEST_CASE(anAnsweredRequestIsNotSuspect)
 {
     CrashQuarantine quarantine;
     quarantine.noteAnswered(request);
@@ -40,7 +40,7 @@
     BOOST_TEST(quarantine.contains(RequestFingerprint{43}, start));
 }
 
-BOOST_AUTO_TEST_CASE(crashesFarApartAreNotCountedTogetherAndAQuarantineEnds)
+BOOST_AUTO_TEST_CASE(crashesFarApartAreNotCountedTogetherAndQuarantineExpires)
 {
     CrashQuarantine quarantine;
     BOOST_TEST(!quarantine.countCrash({request, 1}, start));
@@ -54,8 +54,8 @@
     BOOST_TEST(quarantine.contains(request, start + 12min));
 }
 
-// Guards against memory that grows with every request that is ever lost.
-BOOST_AUTO_TEST_CASE(whatIsKeptIsBounded)
+// Guards against memory that grows with every lost request.
+BOOST_AUTO_TEST_CASE(theNumberOfEntriesIsLimited)
 {
     CrashQuarantine quarantine;
     for (std::uint64_t i = 1; i <= 20'000; ++i) {
@@ -65,7 +65,7 @@
     BOOST_TEST(quarantine.size(start) == 1'024U);
     BOOST_TEST(quarantine.contains(RequestFingerprint{20'000}, start));
     BOOST_TEST(!quarantine.contains(RequestFingerprint{1}, start));
-    BOOST_TEST(!quarantine.countCrash({RequestFingerprint{1}, 2}, start)); // Its first crash is forgotten.
+    BOOST_TEST(!quarantine.countCrash({RequestFingerprint{1}, 2}, start)); // Its first crash was evicted.
     BOOST_TEST(!quarantine.countCrash({RequestFingerprint{1}, 3}, start));
 }
 
--- a/tests/coordination/test_duty_hosts.cpp
+++ b/tests/coordination/test_duty_hosts.cpp
@@ -23,22 +23,22 @@
 
 BOOST_AUTO_TEST_SUITE(DutyHostsTest)
 
-BOOST_AUTO_TEST_CASE(largeHostsTakeTheDuties)
+BOOST_AUTO_TEST_CASE(largeHostsPerformTheDuties)
 {
-    // Guards against a host with a tenth of the others' link that tells the whole fleet of changes.
+    // Guards against a host with a tenth of the others' link rate having to notify the whole fleet of changes.
     const auto names = dutyHosts(fleet(15, 280));
     BOOST_TEST(names.size() == 15U);
     BOOST_TEST(names.front() == "large-0");
 }
 
-BOOST_AUTO_TEST_CASE(aFewLargeHostsAreNotReliedOn)
+BOOST_AUTO_TEST_CASE(tooFewLargeHostsAreNotReliedOn)
 {
     BOOST_TEST(dutyHosts(fleet(7, 280)).size() == 287U);
     BOOST_TEST(dutyHosts(fleet(0, 9)).size() == 9U);
     BOOST_TEST(dutyHosts({}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aHostWhoseCapacityIsNotKnownTakesNoneWhereOthersCan)
+BOOST_AUTO_TEST_CASE(aHostOfUnknownCapacityPerformsNoDutiesIfOthersCan)
 {
     auto hosts = fleet(8, 0);
     hosts["other"] = {};
