--- a/decision/cache_view.h
+++ b/decision/cache_view.h
@@ -39,7 +39,7 @@
 
 /// Tracks which engine holds which block, from the events that this host has received. Designed for 28 million cached blocks and
 /// 270,000 events per second over the fleet, of which each host handles a share. The table has a fixed size: a full bucket replaces
-/// its least recently used entry. A flood of events therefore takes no memory, and at worst a prefix is recomputed.
+/// its least recently used entry. A flood of events therefore takes no extra memory, and at worst a prefix is recomputed.
 class CacheView
 {
 public:
--- a/decision/engine_health.h
+++ b/decision/engine_health.h
@@ -47,7 +47,7 @@
 private:
     struct Record
     {
-        double logLikelihood = 0; // Log likelihood ratio of slow against normal, since the last reset of the test.
+        double logLikelihood = 0; // Log likelihood ratio of slow against normal, since the engine last looked normal.
         double logRatio = 0; // Exponentially weighted mean of log ratios.
         std::uint32_t observations = 0;
         std::uint32_t goodProbes = 0;
