--- a/gateway/fleet_link.cpp
+++ b/gateway/fleet_link.cpp
@@ -111,7 +111,7 @@
 
 void FleetLink::queryWeightsAges()
 {
-    forSomeHosts([this](const std::string &host) { socket_.send(host, WeightsQuestion{}); });
+    forSomeHosts([this](const std::string &host) { socket_.send(host, WeightsRequest{}); });
 }
 
 void FleetLink::queryProofs()
@@ -153,7 +153,7 @@
     crashes_.onQuarantined(request, BootClock::now());
 }
 
-void FleetLink::onWeightsQuestion(const std::string &host)
+void FleetLink::onWeightsRequest(const std::string &host)
 {
     const TimePoint now = BootClock::now();
     for (const PublishedWeights &weights : gateway_.targets().weightsWithKnownTime()) {
@@ -192,7 +192,7 @@
     // The notice may have waited in the socket buffer while this process was paused. With its duration counted from now, engines that have
     // finished loading, after a change of weights all of them, would get no requests for seconds. An engine that is still loading declines
     // a request and is then avoided.
-    const Duration remaining = notice.time - gateway_.recentPause(BootClock::now());
+    const Duration remaining = notice.duration - gateway_.recentPause(BootClock::now());
     if (remaining > Duration::zero()) {
         gateway_.avoidTarget(notice.target, remaining);
     }
@@ -233,7 +233,7 @@
     }
 }
 
-bool FleetLink::isBehind() const
+bool FleetLink::mayHaveStaleMessages() const
 {
     return gateway_.recentPause(BootClock::now()) != Duration::zero();
 }
--- a/gateway/fleet_link.h
+++ b/gateway/fleet_link.h
@@ -85,11 +85,11 @@
     void onProofRequest(const std::string &host, const ProofRequest &request) override;
     void onProofReply(const ProofReply &reply) override;
     void onCacheStoreNotice(const CacheStoreNotice &notice) override;
-    void onWeightsQuestion(const std::string &host) override;
+    void onWeightsRequest(const std::string &host) override;
     void onWeightsAge(const WeightsAge &age) override;
     void onCrashReport(const std::string &host, const CrashReport &report) override;
     void onQuarantined(RequestFingerprint request) override;
-    bool isBehind() const override;
+    bool mayHaveStaleMessages() const override;
     void scheduleTokenTimeout();
     void forSomeHosts(const std::function<void(const std::string &host)> &action);
 
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -165,7 +165,7 @@
 void Gateway::setTargets(std::shared_ptr<const TargetMap> targets)
 {
     directory_.setTargets(std::move(targets));
-    pool_.keepOnly(directory_.all());
+    pool_.closeUnlisted(directory_.all());
     hasTargets_ = true;
     dispatch_.invalidateEngines();
     if (isConfigured()) {
@@ -582,7 +582,7 @@
     if (path != "/metrics") {
         return operatorView_.answer(path);
     }
-    setGauges(metrics_, *this);
+    updateGauges(metrics_, *this);
     return {200, metrics_.text(), "text/plain; version=0.0.4"};
 }
 
--- a/gateway/gauges.cpp
+++ b/gateway/gauges.cpp
@@ -6,7 +6,7 @@
 namespace Lovageloft
 {
 
-void setGauges(Metrics &metrics, const Gateway &gateway)
+void updateGauges(Metrics &metrics, const Gateway &gateway)
 {
     const TimePoint now = BootClock::now();
     const auto table = gateway.table();
--- a/gateway/peer_socket.cpp
+++ b/gateway/peer_socket.cpp
@@ -114,7 +114,7 @@
     changes.setAfter(notice.after);
     changes.setUpTo(notice.upTo);
     changes.setSilenceMilliseconds(static_cast<std::uint32_t>(toMillis(notice.silence)));
-    changes.setLatestStart(notice.latestStart);
+    changes.setLatestStart(notice.maxStartRevision);
     if (notice.outage) {
         changes.setAwayMilliseconds(static_cast<std::uint32_t>(std::min<std::int64_t>(toMillis(*notice.outage), unknownTime - 1)));
     }
@@ -129,7 +129,7 @@
         notice.omitted.push_back(entry.getIsOmitted());
     }
     notice.silence = std::chrono::milliseconds(changes.getSilenceMilliseconds());
-    notice.latestStart = changes.getLatestStart();
+    notice.maxStartRevision = changes.getLatestStart();
     if (changes.getAwayMilliseconds() != unknownTime) {
         notice.outage = std::chrono::milliseconds(changes.getAwayMilliseconds());
     }
@@ -239,7 +239,7 @@
     capnp::MallocMessageBuilder message;
     auto loading = message.initRoot<Datagram>().initLoading();
     loading.setTarget(notice.target);
-    loading.setMilliseconds(static_cast<std::uint32_t>(toMillis(notice.time)));
+    loading.setMilliseconds(static_cast<std::uint32_t>(toMillis(notice.duration)));
     broadcastBytes(encode(message));
 }
 
@@ -263,7 +263,7 @@
     sendTo(host, encode(message));
 }
 
-void PeerSocket::send(const std::string &host, const WeightsQuestion & /*question*/)
+void PeerSocket::send(const std::string &host, const WeightsRequest & /*request*/)
 {
     capnp::MallocMessageBuilder message;
     message.initRoot<Datagram>().setWeightsQuestion();
@@ -311,7 +311,7 @@
 void PeerSocket::broadcast(const ChangesNotice &notice)
 {
     const std::span<const StoreEntry> entries = notice.entries;
-    if (notice.latestStart < notice.upTo) {
+    if (notice.maxStartRevision < notice.upTo) {
         broadcastBytes(encodeChanges(notice, entries)); // A receiver of some of it would be in between.
         return;
     }
@@ -424,7 +424,7 @@
 void PeerSocket::readForwarded(std::string_view datagram, std::span<const Endpoint> receivers, const std::string &host)
 {
     for (const Endpoint &receiver : receivers) {
-        if (hosts_.contains(receiver) && !events_.isBehind()) {
+        if (hosts_.contains(receiver) && !events_.mayHaveStaleMessages()) {
             sendBytes(datagram, receiver);
         }
     }
@@ -503,7 +503,7 @@
             break;
         }
         case Datagram::WEIGHTS_QUESTION: {
-            events_.onWeightsQuestion(host);
+            events_.onWeightsRequest(host);
             break;
         }
         case Datagram::WEIGHTS_AGE: {
--- a/gateway/peer_socket.h
+++ b/gateway/peer_socket.h
@@ -38,7 +38,7 @@
 struct LoadingNotice
 {
     std::string target;
-    Duration time{};
+    Duration duration{};
 };
 
 struct TokenRequest
@@ -67,7 +67,7 @@
 
     /// Only for a receiver that has reached no more than this. Changes that were found by comparing two lists don't show what came and
     /// went between them, which a receiver in between may have seen come.
-    std::int64_t latestStart = std::numeric_limits<std::int64_t>::max();
+    std::int64_t maxStartRevision = std::numeric_limits<std::int64_t>::max();
 
     std::optional<Duration> outage{}; ///< As in StoreListReply.
 };
@@ -109,7 +109,7 @@
 };
 
 /// Asks how long ago the weights were named that another host has heard of.
-struct WeightsQuestion
+struct WeightsRequest
 {
 };
 
@@ -136,13 +136,13 @@
     virtual void onProofRequest(const std::string &host, const ProofRequest &request) = 0;
     virtual void onProofReply(const ProofReply &reply) = 0;
     virtual void onCacheStoreNotice(const CacheStoreNotice &notice) = 0;
-    virtual void onWeightsQuestion(const std::string &host) = 0;
+    virtual void onWeightsRequest(const std::string &host) = 0;
     virtual void onWeightsAge(const WeightsAge &age) = 0;
     virtual void onCrashReport(const std::string &host, const CrashReport &report) = 0;
     virtual void onQuarantined(RequestFingerprint request) = 0;
 
     /// Whether what comes in now may have lain unread; it is then not passed on to others.
-    virtual bool isBehind() const = 0;
+    virtual bool mayHaveStaleMessages() const = 0;
 };
 
 /// Single datagrams between the hosts of a fleet, encoded by Cap'n Proto, deflated if they are long. What comes from an address that is no
@@ -177,7 +177,7 @@
     void send(const std::string &host, const ChangesReply &reply);
     void send(const std::string &host, const ProofRequest &request);
     void send(const std::string &host, const ProofReply &reply);
-    void send(const std::string &host, const WeightsQuestion &question);
+    void send(const std::string &host, const WeightsRequest &request);
     void send(const std::string &host, const WeightsAge &age);
     void send(const std::string &host, const CrashReport &report);
     void send(const std::string &host, RequestFingerprint quarantined);
--- a/gateway/prefix_state.cpp
+++ b/gateway/prefix_state.cpp
@@ -26,7 +26,7 @@
         changes.push_back(entry);
         recordKey(entry);
     }
-    const bool isCoalesced = notice.latestStart < notice.upTo;
+    const bool isCoalesced = notice.maxStartRevision < notice.upTo;
     if (lacksValues) {
         log.reset(notice.upTo);
     } else if (isCoalesced) {
--- a/gateway/relayed_store.cpp
+++ b/gateway/relayed_store.cpp
@@ -156,7 +156,7 @@
     }
     PrefixState &state = found->second;
     const TimePoint now = now_();
-    const bool isInsideCoalescedRange = notice.latestStart < state.syncedRevision && state.syncedRevision < notice.upTo;
+    const bool isInsideCoalescedRange = notice.maxStartRevision < state.syncedRevision && state.syncedRevision < notice.upTo;
     if (notice.after > state.syncedRevision || isInsideCoalescedRange) {
         recordGap(notice.prefix, state, notice.upTo, now);
     } else if (notice.upTo >= state.syncedRevision) {
--- a/gateway/routed_request.cpp
+++ b/gateway/routed_request.cpp
@@ -197,9 +197,9 @@
     const TargetRequest request = makeTargetRequest(gateway_, intake_, {target, timeLeft(now), lastEventId, expectedCached_, holder_, comesLate_}, salt, plan);
     std::string bytes = gateway_.targetProtocol().writeHead(head_, request, body_.size());
     bytes.append(body_);
-    connection_ = gateway_.pool().take(target, intake_.route()->isIdempotent(), now);
-    log_.sent({target.id, sends_, now - startedAt_, request.weightsVersion, expectedCached_, request.fetchFrom, connection_->isUsed()});
-    connection_->start(std::move(bytes), intake_.caller().id, head_.method != "HEAD", *this);
+    connection_ = gateway_.pool().acquire(target, intake_.route()->isIdempotent(), now);
+    log_.sent({target.id, sends_, now - startedAt_, request.weightsVersion, expectedCached_, request.fetchFrom, connection_->hasSentRequest()});
+    connection_->sendRequest(std::move(bytes), intake_.caller().id, head_.method != "HEAD", *this);
     armTimer();
 }
 
@@ -441,7 +441,7 @@
         return;
     }
     if (connection_ != nullptr) {
-        connection_->abandon();
+        connection_->abort();
         connection_.reset();
     }
     if (isRunning()) {
@@ -493,7 +493,7 @@
     if (connection_ != nullptr && (wasRunning && intake_.route()->kind == RouteKind::NonIdempotent && !isStalled)) {
         // A call that must run once is left to end; the caller gets its answer now.
         if (session_ == nullptr) {
-            connection_->abandon();
+            connection_->abort();
             connection_.reset();
             endDispatch(DispatchResult::Failed);
             finish("abandoned", 0);
@@ -505,7 +505,7 @@
         return;
     }
     if (connection_ != nullptr) {
-        connection_->abandon();
+        connection_->abort();
         connection_.reset();
     }
     if (wasRunning) {
--- a/gateway/target_connection.cpp
+++ b/gateway/target_connection.cpp
@@ -30,7 +30,7 @@
     tcp_ = TcpConnection::connect(loop, address, timeout, *this);
 }
 
-void TargetConnection::start(std::string bytes, std::string requestId, bool hasAnswerBody, ExchangeEvents &events)
+void TargetConnection::sendRequest(std::string bytes, std::string requestId, bool hasAnswerBody, ExchangeEvents &events)
 {
     events_ = &events;
     requestId_ = std::move(requestId);
@@ -46,7 +46,7 @@
     }
 }
 
-void TargetConnection::abandon()
+void TargetConnection::abort()
 {
     events_ = nullptr;
     if (tcp_ != nullptr) {
@@ -84,9 +84,9 @@
     return idleSince_;
 }
 
-bool TargetConnection::isUsed() const
+bool TargetConnection::hasSentRequest() const
 {
-    return isUsed_;
+    return hasSentRequest_;
 }
 
 void TargetConnection::onConnected()
@@ -154,7 +154,7 @@
 
 void TargetConnection::sendPending()
 {
-    isUsed_ = true;
+    hasSentRequest_ = true;
     tcp_->send(pending_);
     pending_.clear();
 }
@@ -195,7 +195,7 @@
 void TargetConnection::lose(TargetLoss loss, std::string_view why)
 {
     ExchangeEvents *events = events_;
-    abandon();
+    abort();
     events->onTargetLost(loss, why);
 }
 
--- a/gateway/target_connection.h
+++ b/gateway/target_connection.h
@@ -55,10 +55,10 @@
     void connect(boost::asio::io_context &loop, const HostAddress &address, Duration timeout);
 
     /// Sends a request once the connection stands. `requestId` is what its answer must bear.
-    void start(std::string bytes, std::string requestId, bool hasAnswerBody, ExchangeEvents &events);
+    void sendRequest(std::string bytes, std::string requestId, bool hasAnswerBody, ExchangeEvents &events);
 
     /// Gives the exchange up: the connection is closed, by which most targets drop the request.
-    void abandon();
+    void abort();
 
     void pauseReading();
     void resumeReading();
@@ -74,7 +74,7 @@
     TimePoint idleSince() const;
 
     /// Whether a request was sent on it before.
-    bool isUsed() const;
+    bool hasSentRequest() const;
 
 private:
     void onConnected() override;
@@ -100,7 +100,7 @@
     std::string requestId_;
     std::size_t requestBytes_ = 0;
     bool isConnected_ = false;
-    bool isUsed_ = false;
+    bool hasSentRequest_ = false;
     bool isSkipping_ = false; ///< The message being read is no answer to the request that waits.
     bool isReusable_ = true;
     Duration keepAlive_;
--- a/gateway/target_pool.cpp
+++ b/gateway/target_pool.cpp
@@ -26,7 +26,7 @@
 {
 }
 
-std::shared_ptr<TargetConnection> TargetPool::take(const Target &target, bool isRepeatable, TimePoint now)
+std::shared_ptr<TargetConnection> TargetPool::acquire(const Target &target, bool isRepeatable, TimePoint now)
 {
     Idle &idle = idle_[target.id];
     while (!idle.empty()) {
@@ -39,7 +39,7 @@
         if (connection->isQuiet()) {
             return connection;
         }
-        connection->abandon();
+        connection->abort();
     }
     TargetConnection::Owner &owner = *this;
     auto connection = std::make_shared<TargetConnection>(target.id, protocol_, owner);
@@ -53,21 +53,21 @@
         std::erase_if(idle, [now](const auto &connection) {
             const bool isStale = now - connection->idleSince() > connection->keepAlive() * repeatableParts / wholeParts;
             if (isStale) {
-                connection->abandon();
+                connection->abort();
             }
             return isStale;
         });
     }
 }
 
-void TargetPool::keepOnly(const TargetMap &targets)
+void TargetPool::closeUnlisted(const TargetMap &targets)
 {
     std::erase_if(idle_, [&targets](const auto &entry) {
         if (targets.contains(entry.first)) {
             return false;
         }
         for (const auto &connection : entry.second) {
-            connection->abandon();
+            connection->abort();
         }
         return true;
     });
@@ -86,7 +86,7 @@
 {
     Idle &idle = idle_[connection->targetId()];
     if (idle.size() >= idlePerTarget) {
-        connection->abandon();
+        connection->abort();
         return;
     }
     idle.push_back(connection);
--- a/gateway/target_pool.h
+++ b/gateway/target_pool.h
@@ -20,13 +20,13 @@
     /// A connection for one exchange: an idle one or a new one. `isRepeatable` tells whether the request could be sent again:
     /// one that can't only gets a connection that the target will keep for a good while, as a close that crosses the request leaves
     /// open whether it ran.
-    std::shared_ptr<TargetConnection> take(const Target &target, bool isRepeatable, TimePoint now);
+    std::shared_ptr<TargetConnection> acquire(const Target &target, bool isRepeatable, TimePoint now);
 
     /// Closes what has been idle too long.
     void closeStale(TimePoint now);
 
     /// Closes the idle connections to targets that are no longer listed.
-    void keepOnly(const TargetMap &targets);
+    void closeUnlisted(const TargetMap &targets);
 
     std::size_t idleCount() const;
 
--- a/tests/platform/test_datagrams.cpp
+++ b/tests/platform/test_datagrams.cpp
@@ -55,7 +55,7 @@
     /// The age that the gateway tells; nothing within two seconds.
     std::optional<Duration> ask()
     {
-        send(WeightsQuestion{});
+        send(WeightsRequest{});
         auto told = told_.get_future();
         return told.wait_for(2s) == std::future_status::ready ? std::optional(told.get()) : std::nullopt;
     }
@@ -64,7 +64,7 @@
     ProofReply proof; ///< What it has in force; to be set before anybody asks.
 
 private:
-    void tell(const WeightsQuestion &question)
+    void tell(const WeightsRequest &question)
     {
         socket_.send("host", question);
     }
@@ -74,7 +74,7 @@
         socket_.broadcast(notice);
     }
 
-    void onWeightsQuestion(const std::string &host) override
+    void onWeightsRequest(const std::string &host) override
     {
         if (age_.load() != Duration::zero()) {
             socket_.send(host, WeightsAge{"m", 2, age_});
@@ -114,7 +114,7 @@
     {
     }
 
-    bool isBehind() const override
+    bool mayHaveStaleMessages() const override
     {
         return false;
     }
