--- a/coordination/change_log.cpp
+++ b/coordination/change_log.cpp
@@ -10,39 +10,39 @@
 namespace
 {
 
-/// A host that missed more than this reads the list.
-constexpr std::size_t mostEntries = 1'024;
-constexpr std::size_t mostBytes = std::size_t{2} << 20U;
+/// Limits of the log. A host that missed more changes reads the complete list.
+constexpr std::size_t maxEntries = 1'024;
+constexpr std::size_t maxBytes = std::size_t{2} << 20U;
 
 } // namespace
 
 void ChangeLog::reset(std::int64_t revision)
 {
-    begin_ = revision;
+    startRevision_ = revision;
     bytes_ = 0;
     entries_.clear();
-    leaps_.clear();
+    coalescedRanges_.clear();
 }
 
 void ChangeLog::append(const StoreEntry &entry)
 {
     bytes_ += entry.value.size();
     entries_.push_back(entry);
-    while (entries_.size() > mostEntries || bytes_ > mostBytes) {
-        begin_ = std::max(begin_, entries_.front().revision);
+    while (entries_.size() > maxEntries || bytes_ > maxBytes) {
+        startRevision_ = std::max(startRevision_, entries_.front().revision);
         bytes_ -= entries_.front().value.size();
         entries_.pop_front();
     }
-    // A log that begins within a leap lacks what that left out.
-    while (!leaps_.empty() && leaps_.front().after < begin_) {
-        begin_ = std::max(begin_, leaps_.front().upTo);
-        leaps_.pop_front();
+    // If the log starts within a coalesced range, changes that the range left out are missing.
+    while (!coalescedRanges_.empty() && coalescedRanges_.front().after < startRevision_) {
+        startRevision_ = std::max(startRevision_, coalescedRanges_.front().upTo);
+        coalescedRanges_.pop_front();
     }
 }
 
 void ChangeLog::appendCoalesced(std::int64_t after, std::int64_t upTo, std::span<const StoreEntry> entries)
 {
-    leaps_.push_back({after, upTo});
+    coalescedRanges_.push_back({after, upTo});
     for (const StoreEntry &entry : entries) {
         append(entry);
     }
@@ -50,8 +50,8 @@
 
 std::optional<std::vector<StoreEntry>> ChangeLog::since(std::int64_t revision) const
 {
-    const auto isWithin = [revision](const Leap &leap) { return leap.after < revision && revision < leap.upTo; };
-    if (revision < begin_ || std::any_of(leaps_.begin(), leaps_.end(), isWithin)) {
+    const auto isWithin = [revision](const CoalescedRange &range) { return range.after < revision && revision < range.upTo; };
+    if (revision < startRevision_ || std::any_of(coalescedRanges_.begin(), coalescedRanges_.end(), isWithin)) {
         return std::nullopt;
     }
     std::vector<StoreEntry> changes;
--- a/coordination/key_table.cpp
+++ b/coordination/key_table.cpp
@@ -15,7 +15,7 @@
 {
     for (const auto &[name, team] : state.teams()) {
         for (const KeyDigest &digest : team.keys) {
-            std::vector<Entry> &entries = digest.id.starts_with(idPrefix) ? withId_[digest.id] : withoutId_;
+            std::vector<Entry> &entries = digest.id.starts_with(idPrefix) ? entriesById_[digest.id] : entriesWithoutId_;
             entries.push_back({digest, name});
         }
     }
@@ -25,10 +25,10 @@
 {
     const std::string_view id = publicId(key);
     if (id.empty()) {
-        return search(withoutId_, key);
+        return search(entriesWithoutId_, key);
     }
-    const auto entries = withId_.find(std::string(id));
-    return search(entries == withId_.end() ? decoy_ : entries->second, key);
+    const auto entries = entriesById_.find(std::string(id));
+    return search(entries == entriesById_.end() ? decoy_ : entries->second, key);
 }
 
 std::string_view KeyTable::publicId(std::string_view key)
--- a/tests/coordination/test_change_log.cpp
+++ b/tests/coordination/test_change_log.cpp
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_SUITE(ChangeLogTest)
 
-BOOST_AUTO_TEST_CASE(itTellsTheLastChangeOfEachKeyInOrder)
+BOOST_AUTO_TEST_CASE(sinceReturnsTheLastChangeOfEachKeyInOrder)
 {
     ChangeLog log;
     log.reset(10);
@@ -26,9 +26,9 @@
     BOOST_TEST(log.since(15)->empty());
 }
 
-BOOST_AUTO_TEST_CASE(whatItDoesNotReachBackToIsNotTold)
+BOOST_AUTO_TEST_CASE(nothingIsReturnedForRevisionsBeforeTheLog)
 {
-    // Guards against a host that takes a part of what it missed for all of it.
+    // Guards against a host that treats a part of the changes it missed as all of them.
     ChangeLog log;
     log.reset(10);
     BOOST_TEST(!log.since(9).has_value());
@@ -41,9 +41,10 @@
     BOOST_TEST(!log.since(5'500).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(aHostWithinALeapIsNotTold)
+BOOST_AUTO_TEST_CASE(nothingIsReturnedWithinACoalescedRange)
 {
-    // Guards against a host that has seen a key come, which was gone again before the next list, and is never told that it went.
+    // Guards against a host that has seen a key being created, which was deleted before the next list, and that never learns of the
+    // deletion.
     ChangeLog log;
     log.reset(10);
     const std::vector<StoreEntry> changes{{"a", "1", 12, false}, {"b", "", 20, true}};
@@ -59,7 +60,7 @@
     BOOST_TEST(log.since(20).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(longValuesDoNotFillTheMemory)
+BOOST_AUTO_TEST_CASE(longValuesAreLimitedInBytes)
 {
     ChangeLog log;
     const std::string value(500'000, 'x');
--- a/tests/coordination/test_key_table.cpp
+++ b/tests/coordination/test_key_table.cpp
@@ -52,9 +52,10 @@
     BOOST_TEST((table.find("lk-desk-s1") == KeyMatch{"desk", "lk-desk"}));
 }
 
-BOOST_AUTO_TEST_CASE(aKeyOfTwoTeamsServesNeither)
+BOOST_AUTO_TEST_CASE(aKeyOfTwoTeamsMatchesNeither)
 {
-    // An operator pastes one key into two teams. Served for whichever comes first, one printer's requests would be charged to its rival.
+    // Guards against an operator who gives one key to two teams. If the first match counted, one team's requests would be charged to the
+    // other.
     const KeyTable table = makeTable({
         {"desk", 1, 1, {makeKeyDigest("k", "same"), makeKeyDigest("k2", "twice"), makeKeyDigest("k3", "twice")}},
         {"press", 1, 1, {makeKeyDigest("k", "same")}},
