--- a/coordination/configuration.cpp
+++ b/coordination/configuration.cpp
@@ -46,7 +46,7 @@
 namespace
 {
 
-std::set<std::string_view> namesOf(const std::vector<HostEntry> &hosts)
+std::set<std::string_view> hostNames(const std::vector<HostEntry> &hosts)
 {
     std::set<std::string_view> names;
     for (const HostEntry &host : hosts) {
@@ -55,23 +55,23 @@
     return names;
 }
 
-/// Whether the list of hosts may follow on the other. What goes wrong when two hosts change at once: a majority of the old list
-/// and one of the new need not share a host, so a cut-off host finds enough others that know as little as it does. An operator
-/// notices a withdrawn key that still works there. With one change an entry any two such majorities share a host.
-bool mayFollow(const std::vector<HostEntry> &before, const std::vector<HostEntry> &after, Reason &reason)
+/// Whether a list of hosts may replace another. If two hosts changed at once, a majority of the old list and one of the new list need not
+/// have a host in common, so a host that is cut off could find a majority that holds nothing newer than itself, and a withdrawn key would
+/// still work there. With one change per entry, any two such majorities have a host in common.
+bool checkHostsChange(const std::vector<HostEntry> &before, const std::vector<HostEntry> &after, Reason &reason)
 {
-    const auto former = namesOf(before);
-    const auto next = namesOf(after);
-    if (next.size() != after.size()) {
+    const auto previousNames = hostNames(before);
+    const auto newNames = hostNames(after);
+    if (newNames.size() != after.size()) {
         reason = {ResultCode::TicketInvalid, "hosts: names a host twice"};
         return false;
     }
-    if (former.empty()) {
+    if (previousNames.empty()) {
         return true;
     }
     std::vector<std::string_view> changed;
-    std::set_symmetric_difference(former.begin(), former.end(), next.begin(), next.end(), std::back_inserter(changed));
-    if (next.empty() || changed.size() > 1) {
+    std::set_symmetric_difference(previousNames.begin(), previousNames.end(), newNames.begin(), newNames.end(), std::back_inserter(changed));
+    if (newNames.empty() || changed.size() > 1) {
         reason = {ResultCode::TicketInvalid, "hosts: one ticket may add or remove one host, and must leave one"};
         return false;
     }
@@ -83,7 +83,7 @@
 bool ConfigurationState::apply(const Ticket &ticket, Reason &reason)
 {
     const std::string digest = sha256Hex(formatTicket(ticket));
-    std::size_t repeated = 0;
+    std::size_t repeatedObjects = 0;
     for (const ConfigurationObject &object : ticket.objects) {
         const std::string id = objectId(object);
         const auto last = lastTickets_.find(id);
@@ -98,15 +98,15 @@
             reason = {ResultCode::TicketConflict, id + " was changed by another ticket of this number"};
             return false;
         }
-        ++repeated;
+        ++repeatedObjects;
     }
-    if (repeated == ticket.objects.size()) {
+    if (repeatedObjects == ticket.objects.size()) {
         reason = {ResultCode::TicketAlreadyAccepted, "this ticket was accepted before"};
         return false;
     }
     for (const ConfigurationObject &object : ticket.objects) {
         const auto *hosts = std::get_if<HostsConfiguration>(&object);
-        if (hosts != nullptr && !mayFollow(hosts_, hosts->hosts, reason)) {
+        if (hosts != nullptr && !checkHostsChange(hosts_, hosts->hosts, reason)) {
             return false;
         }
     }
@@ -148,18 +148,18 @@
     const std::size_t slash = objectId.find('/');
     const std::string_view kind = objectId.substr(0, slash);
     const std::string_view name = slash == std::string_view::npos ? std::string_view() : objectId.substr(slash + 1);
-    const auto digestIn = [name](const auto &items) {
+    const auto findDigest = [name](const auto &items) {
         const auto item = items.find(name);
         return item == items.end() ? std::string() : sha256Hex(formatObject(item->second));
     };
     if (kind == "team") {
-        return digestIn(teams_);
+        return findDigest(teams_);
     }
     if (kind == "target") {
-        return digestIn(targets_);
+        return findDigest(targets_);
     }
     if (kind == "model") {
-        return digestIn(models_);
+        return findDigest(models_);
     }
     return hosts_.empty() ? std::string() : sha256Hex(formatObject(HostsConfiguration{hosts_}));
 }
@@ -198,14 +198,14 @@
 std::string ConfigurationState::toJson() const
 {
     ConfigurationDocument document;
-    const auto addAll = [&document](const auto &items) {
+    const auto addObjects = [&document](const auto &items) {
         for (const auto &[name, item] : items) {
             document.objects.emplace_back(item);
         }
     };
-    addAll(teams_);
-    addAll(targets_);
-    addAll(models_);
+    addObjects(teams_);
+    addObjects(targets_);
+    addObjects(models_);
     document.objects.emplace_back(HostsConfiguration{hosts_});
     for (const auto &[id, last] : lastTickets_) {
         document.tickets.push_back({id, last.number, last.digest});
--- a/coordination/configuration.h
+++ b/coordination/configuration.h
@@ -10,12 +10,12 @@
 
 #include "core/result_code.h"
 
-/// The operators' configuration: teams, targets, models and the list of hosts, and the numbered tickets that change it.
-/// A ticket carries the whole new state of each object it touches.
+/// The operators' configuration: teams, targets, models and the list of hosts, and the numbered tickets that change it. A ticket carries
+/// the complete new state of each object that it changes.
 namespace Lovageloft
 {
 
-/// A caller's key as it is kept: never the key itself, only a salted digest.
+/// A caller's key as stored: only a salted digest, never the key itself.
 struct KeyDigest
 {
     std::string id; ///< Names the key in logs and tickets.
@@ -25,12 +25,12 @@
     bool operator==(const KeyDigest &) const = default;
 };
 
-/// A team: who may call, and how much all hosts together may spend for it.
+/// A team: who may call, and how many tokens it may spend over all hosts together.
 struct TeamConfiguration
 {
     std::string name;
-    double rate = 0; ///< Tokens a second over the whole fleet.
-    double burst = 0; ///< Tokens that may be spent at once on top of the rate.
+    double rate = 0; ///< Tokens per second over all hosts together.
+    double burst = 0; ///< Tokens that may be spent at once in addition to the rate.
     std::vector<KeyDigest> keys;
 
     bool operator==(const TeamConfiguration &) const = default;
@@ -45,10 +45,10 @@
 enum class TargetState : std::uint8_t
 {
     Serving,
-    Leaving, ///< Gets no new work; what runs is completed.
+    Leaving, ///< Gets no new work; running requests are completed.
 };
 
-/// A method and path prefix of a service whose calls may not be repeated.
+/// A method and path prefix of a service whose calls must not be repeated.
 struct NonIdempotentRoute
 {
     std::string method;
@@ -57,25 +57,25 @@
     bool operator==(const NonIdempotentRoute &) const = default;
 };
 
-/// An engine or a plain service.
+/// A target: an engine or a service.
 struct TargetConfiguration
 {
     std::string name;
     TargetKind kind = TargetKind::Engine;
-    std::string service; ///< For services: the name in the callers' path. Several targets may serve one service.
+    std::string service; ///< For services: the name in the callers' path. Several targets may provide one service.
     std::string address; ///< "ADDRESS:PORT".
     std::string dataCentre;
     std::string model; ///< For engines: the model it runs.
-    bool checksFencing = false; ///< Whether it refuses an order with an old fencing token.
+    bool checksFencing = false; ///< Whether the target rejects an order with an old fencing token.
     TargetState state = TargetState::Serving;
     std::vector<NonIdempotentRoute> nonIdempotent;
-    double prefillRate = 10'000; ///< For engines: prompt tokens computed a second.
-    std::int64_t batchLimit = 64; ///< For engines: requests it generates for at once.
+    double prefillRate = 10'000; ///< For engines: prompt tokens computed per second.
+    std::int64_t batchLimit = 64; ///< For engines: the number of requests for which it generates tokens at the same time.
 
     bool operator==(const TargetConfiguration &) const = default;
 };
 
-/// A model and the version of its weights that engines are to run.
+/// A model and the version of its weights that engines must run.
 struct ModelConfiguration
 {
     std::string name;
@@ -94,7 +94,7 @@
     bool operator==(const HostEntry &) const = default;
 };
 
-/// The list of hosts; one object of its own named "hosts".
+/// The list of hosts, a single object with the id "hosts".
 struct HostsConfiguration
 {
     std::vector<HostEntry> hosts;
@@ -102,7 +102,7 @@
     bool operator==(const HostsConfiguration &) const = default;
 };
 
-/// Takes an object out of service. Its ticket number is remembered all the same.
+/// Removes an object. The number of the removing ticket is kept, so that an older ticket can't restore the object.
 struct RemovedObject
 {
     std::string kind; ///< "team", "target" or "model".
@@ -113,7 +113,7 @@
 
 using ConfigurationObject = std::variant<TeamConfiguration, TargetConfiguration, ModelConfiguration, HostsConfiguration, RemovedObject>;
 
-/// "KIND/NAME" of an object, by which its last ticket number is remembered.
+/// The id "KIND/NAME" of an object, under which its last ticket number is stored; "hosts" for the list of hosts.
 std::string objectId(const ConfigurationObject &object);
 
 /// A numbered change by an operator.
@@ -126,20 +126,21 @@
     bool operator==(const Ticket &) const = default;
 };
 
-/// Reads a ticket from JSON, checking every field: unknown fields, wrong types and ranges are TicketInvalid.
+/// Reads a ticket from JSON and checks every field. Unknown fields, wrong types and values out of range are reported as TicketInvalid.
 std::optional<Ticket> parseTicket(std::string_view json, Reason &reason);
 
-/// The ticket as JSON with fields in a fixed order, so that equal tickets have equal text and digest.
+/// Returns the ticket as JSON with its fields in a fixed order, so that equal tickets have equal text and digest.
 std::string formatTicket(const Ticket &ticket);
 
-/// All objects in force at one point of the log. `apply` is a pure function of state and ticket, so that
-/// every host that replays the same log comes to the same state.
+/// All objects at one point of the log. `apply` is a pure function of state and ticket, so that every host that replays the same log
+/// reaches the same state.
 class ConfigurationState
 {
 public:
-    /// Applies a ticket whole or not at all. TicketStale if its number is not above that of every object it
-    /// touches, TicketAlreadyAccepted if this very ticket was the last on all of them, TicketConflict if its
-    /// number stands on one of them with other content, TicketInvalid if it changes a list of hosts by more than one.
+    /// Applies a ticket completely or not at all. The reason is TicketStale if the number is below that of the last ticket of an object it
+    /// changes, TicketAlreadyAccepted if this very ticket was the last one for all of its objects, TicketConflict if a ticket of the same
+    /// number but different content was the last one for an object, and TicketInvalid if the new list of hosts names a host twice, removes
+    /// all hosts or differs from a list that is not empty by more than one host.
     bool apply(const Ticket &ticket, Reason &reason);
 
     const std::map<std::string, TeamConfiguration, std::less<>> &teams() const;
@@ -147,13 +148,13 @@
     const std::map<std::string, ModelConfiguration, std::less<>> &models() const;
     const std::vector<HostEntry> &hosts() const;
 
-    /// The number of the last ticket that touched an object, 0 if none did.
+    /// The number of the last ticket that changed an object, 0 if there is none.
     std::int64_t lastTicket(std::string_view objectId) const;
 
-    /// sha256Hex of an object's JSON text, empty if there is no such object. For the audit trail.
+    /// sha256Hex of an object's JSON text, empty if there is no such object. Used for the audit trail.
     std::string objectDigest(std::string_view objectId) const;
 
-    /// The whole state as JSON, for the snapshot key; parseConfigurationState reads it back.
+    /// The complete state as JSON, for the snapshot in the store; parseConfigurationState() reads it.
     std::string toJson() const;
 
 private:
@@ -162,7 +163,7 @@
     struct LastTicket
     {
         std::int64_t number = 0;
-        std::string digest; ///< sha256Hex of formatTicket.
+        std::string digest; ///< sha256Hex of the text returned by formatTicket().
     };
 
     void put(const TeamConfiguration &team);
@@ -180,10 +181,10 @@
 
 std::optional<ConfigurationState> parseConfigurationState(std::string_view json, Reason &reason);
 
-/// Whether `key` is the key of this digest; takes the same time whatever the key.
+/// Whether `key` matches the digest. Compares in constant time.
 bool matchesKey(const KeyDigest &digest, std::string_view key);
 
-/// The digest of a new key under a fresh salt.
+/// Returns the digest of a new key under a random salt.
 KeyDigest makeKeyDigest(std::string_view id, std::string_view key);
 
 } // namespace Lovageloft
--- a/coordination/configuration_audit.h
+++ b/coordination/configuration_audit.h
@@ -10,21 +10,21 @@
 namespace Lovageloft
 {
 
-/// One line of the audit trail: one object that one entry changed.
+/// One line of the audit trail: the change of one object by one entry.
 struct AuditLine
 {
     std::int64_t sequence = 0;
-    std::int64_t committedAt = 0; ///< Milliseconds since 1970 by the committing host's wall clock.
+    std::int64_t committedAt = 0; ///< Milliseconds since 1970 by the wall clock of the committing host.
     std::string operatorName;
     std::int64_t ticket = 0;
     ObjectChange change;
 };
 
-/// The audit lines of an entry in the order of the ticket.
+/// Returns the audit lines of an entry, in the order of the objects in its ticket.
 std::vector<AuditLine> auditLines(const LogEntry &entry);
 
-/// Reads the audit lines of the entries from `range.first` to `range.last`, at most 100 entries a call; a caller goes on behind the
-/// last sequence it got. Nothing if the store gave no answer (StoreUnavailable).
+/// Reads the audit lines of the entries from `range.first` to `range.last`, at most 100 entries per call; to continue, call again from the
+/// sequence number after the last one returned. Empty if the store gave no answer (StoreUnavailable).
 std::optional<std::vector<AuditLine>> readAudit(ConfigurationLogStore &logStore, SequenceRange range, Reason &reason);
 
 } // namespace Lovageloft
--- a/coordination/configuration_json.cpp
+++ b/coordination/configuration_json.cpp
@@ -22,63 +22,63 @@
 using JsonObject = Poco::JSON::Object::Ptr;
 using JsonArray = Poco::JSON::Array::Ptr;
 
-constexpr double greatestBatch = 1e6;
-constexpr double greatestRate = 1e12;
-constexpr std::size_t greatestName = 128;
+constexpr double maxBatchLimit = 1e6;
+constexpr double maxRate = 1e12;
+constexpr std::size_t maxNameLength = 128;
 
-/// Raised inside this file by the readers below and turned into a Reason at its edge.
+/// Thrown by the readers in this file and converted to a Reason by readWithReason().
 struct FieldError
 {
     std::string text;
 };
 
-[[noreturn]] void failField(std::string_view field, std::string_view what)
+[[noreturn]] void throwFieldError(std::string_view field, std::string_view what)
 {
     throw FieldError{std::string(field) + ": " + std::string(what)};
 }
 
-void allowOnly(const JsonObject &object, std::initializer_list<std::string_view> fields)
+void rejectUnknownFields(const JsonObject &object, std::initializer_list<std::string_view> fields)
 {
     for (const auto &[name, value] : *object) {
         if (std::find(fields.begin(), fields.end(), name) == fields.end()) {
-            failField(name, "unknown field");
+            throwFieldError(name, "unknown field");
         }
     }
 }
 
-std::string readText(const JsonObject &object, const std::string &field, bool isRequired = true)
+std::string readString(const JsonObject &object, const std::string &field, bool isRequired = true)
 {
     const Poco::Dynamic::Var value = object->get(field);
     if (value.isEmpty() && !isRequired) {
         return {};
     }
     if (!value.isString()) {
-        failField(field, "must be a text");
+        throwFieldError(field, "must be a text");
     }
     std::string text = value.extract<std::string>();
     if (isRequired && text.empty()) {
-        failField(field, "must not be empty");
+        throwFieldError(field, "must not be empty");
     }
     return text;
 }
 
 std::string readName(const JsonObject &object, const std::string &field)
 {
-    std::string name = readText(object, field);
-    const bool isPlain = std::all_of(name.begin(), name.end(), [](unsigned char character) {
+    std::string name = readString(object, field);
+    const bool isValid = std::all_of(name.begin(), name.end(), [](unsigned char character) {
         return std::isalnum(character) != 0 || character == '-' || character == '_' || character == '.' || character == ':';
     });
-    if (!isPlain || name.size() > greatestName) {
-        failField(field, "must be at most 128 letters, digits, '-', '_', '.' or ':'");
+    if (!isValid || name.size() > maxNameLength) {
+        throwFieldError(field, "must be at most 128 letters, digits, '-', '_', '.' or ':'");
     }
     return name;
 }
 
 std::string readAddress(const JsonObject &object, const std::string &field)
 {
-    std::string address = readText(object, field);
+    std::string address = readString(object, field);
     if (!parseHostAddress(address)) {
-        failField(field, "must be ADDRESS:PORT");
+        throwFieldError(field, "must be ADDRESS:PORT");
     }
     return address;
 }
@@ -87,23 +87,23 @@
 {
     const Poco::Dynamic::Var value = object->get(field);
     if (!value.isNumeric() || value.isBoolean()) {
-        failField(field, "must be a number");
+        throwFieldError(field, "must be a number");
     }
     const auto number = value.convert<double>();
     if (!std::isfinite(number) || number < minimum || number > maximum) {
-        failField(field, "is out of range");
+        throwFieldError(field, "is out of range");
     }
     return number;
 }
 
-bool readFlag(const JsonObject &object, const std::string &field)
+bool readBool(const JsonObject &object, const std::string &field)
 {
     const Poco::Dynamic::Var value = object->get(field);
     if (value.isEmpty()) {
         return false;
     }
     if (!value.isBoolean()) {
-        failField(field, "must be true or false");
+        throwFieldError(field, "must be true or false");
     }
     return value.extract<bool>();
 }
@@ -112,7 +112,7 @@
 {
     JsonObject object = array->getObject(index);
     if (object.isNull()) {
-        failField(field, "must be a list of objects");
+        throwFieldError(field, "must be a list of objects");
     }
     return object;
 }
@@ -124,7 +124,7 @@
     }
     JsonArray array = object->getArray(field);
     if (array.isNull()) {
-        failField(field, "must be a list");
+        throwFieldError(field, "must be a list");
     }
     return array;
 }
@@ -142,62 +142,62 @@
 
 KeyDigest readKey(const JsonObject &object)
 {
-    allowOnly(object, {"id", "salt", "digest"});
-    KeyDigest key{readName(object, "id"), readText(object, "salt"), readText(object, "digest")};
+    rejectUnknownFields(object, {"id", "salt", "digest"});
+    KeyDigest key{readName(object, "id"), readString(object, "salt"), readString(object, "digest")};
     if (key.salt.size() < 16) {
-        failField("salt", "must have at least 16 digits");
+        throwFieldError("salt", "must have at least 16 digits");
     }
     if (key.digest.size() != 64) {
-        failField("digest", "must have 64 digits");
+        throwFieldError("digest", "must have 64 digits");
     }
     return key;
 }
 
 TeamConfiguration readTeam(const JsonObject &object)
 {
-    allowOnly(object, {"kind", "name", "rate", "burst", "keys"});
+    rejectUnknownFields(object, {"kind", "name", "rate", "burst", "keys"});
     TeamConfiguration team;
     team.name = readName(object, "name");
-    team.rate = readNumber(object, "rate", 0, greatestRate);
-    team.burst = readNumber(object, "burst", 0, greatestRate);
+    team.rate = readNumber(object, "rate", 0, maxRate);
+    team.burst = readNumber(object, "burst", 0, maxRate);
     team.keys = readList<KeyDigest>(object, "keys", &readKey, true);
     return team;
 }
 
 NonIdempotentRoute readRoute(const JsonObject &object)
 {
-    allowOnly(object, {"method", "path_prefix"});
-    NonIdempotentRoute route{readText(object, "method"), readText(object, "path_prefix")};
+    rejectUnknownFields(object, {"method", "path_prefix"});
+    NonIdempotentRoute route{readString(object, "method"), readString(object, "path_prefix")};
     if (route.pathPrefix.front() != '/') {
-        failField("path_prefix", "must begin with /");
+        throwFieldError("path_prefix", "must begin with /");
     }
     return route;
 }
 
 TargetConfiguration readTarget(const JsonObject &object)
 {
-    allowOnly(
+    rejectUnknownFields(
         object,
         {"kind", "name", "type", "service", "address", "data_centre", "model", "checks_fencing", "state", "non_idempotent", "prefill_rate", "batch_limit"});
     TargetConfiguration target;
     target.name = readName(object, "name");
-    const std::string type = readText(object, "type");
+    const std::string type = readString(object, "type");
     if (type != "engine" && type != "service") {
-        failField("type", "must be engine or service");
+        throwFieldError("type", "must be engine or service");
     }
     target.kind = type == "engine" ? TargetKind::Engine : TargetKind::Service;
     target.address = readAddress(object, "address");
-    target.dataCentre = readText(object, "data_centre", false);
-    target.checksFencing = readFlag(object, "checks_fencing");
+    target.dataCentre = readString(object, "data_centre", false);
+    target.checksFencing = readBool(object, "checks_fencing");
     if (object->has("prefill_rate")) {
-        target.prefillRate = readNumber(object, "prefill_rate", 1, greatestRate);
+        target.prefillRate = readNumber(object, "prefill_rate", 1, maxRate);
     }
     if (object->has("batch_limit")) {
-        target.batchLimit = static_cast<std::int64_t>(readNumber(object, "batch_limit", 1, greatestBatch));
+        target.batchLimit = static_cast<std::int64_t>(readNumber(object, "batch_limit", 1, maxBatchLimit));
     }
-    const std::string state = readText(object, "state", false);
+    const std::string state = readString(object, "state", false);
     if (!state.empty() && state != "serving" && state != "leaving") {
-        failField("state", "must be serving or leaving");
+        throwFieldError("state", "must be serving or leaving");
     }
     target.state = state == "leaving" ? TargetState::Leaving : TargetState::Serving;
     if (target.kind == TargetKind::Engine) {
@@ -211,35 +211,35 @@
 
 ModelConfiguration readModel(const JsonObject &object)
 {
-    allowOnly(object, {"kind", "name", "weights_version"});
+    rejectUnknownFields(object, {"kind", "name", "weights_version"});
     return {readName(object, "name"), readName(object, "weights_version")};
 }
 
 HostEntry readHost(const JsonObject &object)
 {
-    allowOnly(object, {"name", "peer_address", "data_centre"});
-    return {readName(object, "name"), readAddress(object, "peer_address"), readText(object, "data_centre", false)};
+    rejectUnknownFields(object, {"name", "peer_address", "data_centre"});
+    return {readName(object, "name"), readAddress(object, "peer_address"), readString(object, "data_centre", false)};
 }
 
 HostsConfiguration readHosts(const JsonObject &object)
 {
-    allowOnly(object, {"kind", "hosts"});
+    rejectUnknownFields(object, {"kind", "hosts"});
     return {readList<HostEntry>(object, "hosts", &readHost, true)};
 }
 
 RemovedObject readRemoved(const JsonObject &object)
 {
-    allowOnly(object, {"kind", "removes", "name"});
-    RemovedObject removed{readText(object, "removes"), readName(object, "name")};
+    rejectUnknownFields(object, {"kind", "removes", "name"});
+    RemovedObject removed{readString(object, "removes"), readName(object, "name")};
     if (removed.kind != "team" && removed.kind != "target" && removed.kind != "model") {
-        failField("removes", "must be team, target or model");
+        throwFieldError("removes", "must be team, target or model");
     }
     return removed;
 }
 
 ConfigurationObject readObject(const JsonObject &object)
 {
-    const std::string kind = readText(object, "kind");
+    const std::string kind = readString(object, "kind");
     if (kind == "team") {
         return readTeam(object);
     }
@@ -255,7 +255,7 @@
     if (kind == "removed") {
         return readRemoved(object);
     }
-    failField("kind", "must be team, target, model, hosts or removed");
+    throwFieldError("kind", "must be team, target, model, hosts or removed");
 }
 
 JsonObject orderedObject()
@@ -356,7 +356,7 @@
     return object;
 }
 
-JsonObject writeAny(const ConfigurationObject &object)
+JsonObject writeVariant(const ConfigurationObject &object)
 {
     return std::visit([](const auto &item) { return writeObject(item); }, object);
 }
@@ -365,17 +365,17 @@
 {
     JsonArray array = new Poco::JSON::Array;
     for (const ConfigurationObject &object : objects) {
-        array->add(writeAny(object));
+        array->add(writeVariant(object));
     }
     return array;
 }
 
 LastTicket readLastTicket(const JsonObject &object)
 {
-    return {readText(object, "object"), object->getValue<std::int64_t>("ticket"), readText(object, "digest")};
+    return {readString(object, "object"), object->getValue<std::int64_t>("ticket"), readString(object, "digest")};
 }
 
-std::string toText(const JsonObject &object)
+std::string toJsonText(const JsonObject &object)
 {
     std::ostringstream out;
     object->stringify(out);
@@ -394,20 +394,20 @@
 
 Ticket readTicket(const JsonObject &object)
 {
-    allowOnly(object, {"ticket", "operator", "objects"});
+    rejectUnknownFields(object, {"ticket", "operator", "objects"});
     Ticket ticket;
     const Poco::Dynamic::Var number = object->get("ticket");
     if (!number.isInteger() || number.isBoolean()) {
-        failField("ticket", "must be a whole number");
+        throwFieldError("ticket", "must be a whole number");
     }
     ticket.number = number.convert<std::int64_t>();
     if (ticket.number < 1) {
-        failField("ticket", "must be 1 or more");
+        throwFieldError("ticket", "must be 1 or more");
     }
     ticket.operatorName = readName(object, "operator");
     ticket.objects = readList<ConfigurationObject>(object, "objects", &readObject, true);
     if (ticket.objects.empty()) {
-        failField("objects", "must not be empty");
+        throwFieldError("objects", "must not be empty");
     }
     std::vector<std::string> ids;
     for (const ConfigurationObject &item : ticket.objects) {
@@ -415,12 +415,12 @@
     }
     std::sort(ids.begin(), ids.end());
     if (std::adjacent_find(ids.begin(), ids.end()) != ids.end()) {
-        failField("objects", "names an object twice");
+        throwFieldError("objects", "names an object twice");
     }
     return ticket;
 }
 
-/// Runs a reader and turns what it raises into the last reason.
+/// Runs a reader and stores the error that it throws in `reason`.
 template <typename Read>
 auto readWithReason(Read read, Reason &reason) -> std::optional<decltype(read())>
 {
@@ -447,12 +447,12 @@
     document->set("ticket", ticket.number);
     document->set("operator", ticket.operatorName);
     document->set("objects", writeObjects(ticket.objects));
-    return toText(document);
+    return toJsonText(document);
 }
 
 std::string formatObject(const ConfigurationObject &object)
 {
-    return toText(writeAny(object));
+    return toJsonText(writeVariant(object));
 }
 
 std::string formatConfigurationDocument(const ConfigurationDocument &document)
@@ -468,14 +468,14 @@
     JsonObject object = orderedObject();
     object->set("objects", writeObjects(document.objects));
     object->set("tickets", tickets);
-    return toText(object);
+    return toJsonText(object);
 }
 
 std::optional<ConfigurationDocument> parseConfigurationDocument(std::string_view json, Reason &reason)
 {
     const auto read = [json] {
         const JsonObject object = parseObject(json);
-        allowOnly(object, {"objects", "tickets"});
+        rejectUnknownFields(object, {"objects", "tickets"});
         ConfigurationDocument document;
         document.objects = readList<ConfigurationObject>(object, "objects", &readObject, true);
         document.tickets = readList<LastTicket>(object, "tickets", &readLastTicket, true);
--- a/coordination/configuration_json.h
+++ b/coordination/configuration_json.h
@@ -8,31 +8,31 @@
 
 #include "coordination/configuration.h"
 
-/// The JSON texts of configuration objects and of a whole state. Tickets have theirs in configuration.h.
+/// JSON texts of configuration objects and of a complete state. Those of tickets are in configuration.h.
 namespace Lovageloft
 {
 
-/// The number and digest of the last ticket that touched an object.
+/// The number and digest of the last ticket that changed an object.
 struct LastTicket
 {
-    std::string object; ///< As objectId names it.
+    std::string object; ///< As returned by objectId().
     std::int64_t number = 0;
-    std::string digest; ///< sha256Hex of formatTicket.
+    std::string digest; ///< sha256Hex of the text returned by formatTicket().
 };
 
-/// A whole state as it stands in JSON.
+/// The content of the JSON text of a complete state.
 struct ConfigurationDocument
 {
     std::vector<ConfigurationObject> objects;
     std::vector<LastTicket> tickets;
 };
 
-/// One object as JSON with fields in a fixed order, so that equal objects have equal digests.
+/// Returns one object as JSON with its fields in a fixed order, so that equal objects have equal digests.
 std::string formatObject(const ConfigurationObject &object);
 
 std::string formatConfigurationDocument(const ConfigurationDocument &document);
 
-/// Reads a whole state; anything unknown or out of range is TicketInvalid.
+/// Reads a complete state. Unknown fields, wrong types and values out of range are reported as TicketInvalid.
 std::optional<ConfigurationDocument> parseConfigurationDocument(std::string_view json, Reason &reason);
 
 } // namespace Lovageloft
--- a/coordination/configuration_log.cpp
+++ b/coordination/configuration_log.cpp
@@ -16,14 +16,14 @@
 namespace
 {
 
-// A host may spend 256 MB on control. Entries may have a megabyte, so both sets are bounded in bytes and in number.
-constexpr std::size_t pendingLimit = 256;
-constexpr std::size_t pendingSizeLimit = 8'000'000;
-constexpr std::size_t recentLimit = 512;
-constexpr std::size_t recentSizeLimit = 16'000'000;
+// The control plane of a host may use 256 MB. Entries may have up to a megabyte, so both sets are limited in bytes and in number.
+constexpr std::size_t maxPendingEntries = 256;
+constexpr std::size_t maxPendingBytes = 8'000'000;
+constexpr std::size_t maxRecentEntries = 512;
+constexpr std::size_t maxRecentBytes = 16'000'000;
 
-/// A near figure of an entry's memory, from the parts that can grow.
-std::size_t sizeOf(const LogEntry &entry)
+/// The approximate memory use of an entry, computed from its parts of variable size.
+std::size_t approximateSize(const LogEntry &entry)
 {
     std::size_t size = sizeof(LogEntry);
     for (const ConfigurationObject &object : entry.ticket.objects) {
@@ -101,19 +101,19 @@
         return AddOutcome::Duplicate;
     }
     if (entry.sequence > version_ + 1) {
-        return keepPending(std::move(entry));
+        return addPending(std::move(entry));
     }
     const AddOutcome outcome = replay(std::move(entry));
-    drainPending();
+    replayPending();
     return outcome;
 }
 
-AddOutcome ConfigurationLog::keepPending(LogEntry entry)
+AddOutcome ConfigurationLog::addPending(LogEntry entry)
 {
     const std::int64_t sequence = entry.sequence;
     pending_.emplace(sequence, std::move(entry));
-    // The farthest go first: the near ones are needed first, and a peer or the store still has the others.
-    while (pending_.size() > pendingLimit || (pendingSize() > pendingSizeLimit && pending_.size() > 1)) {
+    // Drops the entries that are furthest ahead: those nearer are needed first, and a peer or the store can deliver the others again.
+    while (pending_.size() > maxPendingEntries || (pendingBytes() > maxPendingBytes && pending_.size() > 1)) {
         pending_.erase(std::prev(pending_.end()));
     }
     return pending_.contains(sequence) ? AddOutcome::Pending : AddOutcome::Dropped;
@@ -130,11 +130,11 @@
         hostsSequence_ = version_;
         previousHosts_ = std::move(hostsBefore);
     }
-    keepRecent(std::move(entry), isApplied);
+    addRecent(std::move(entry), isApplied);
     return isApplied ? AddOutcome::Applied : AddOutcome::Skipped;
 }
 
-void ConfigurationLog::drainPending()
+void ConfigurationLog::replayPending()
 {
     while (!pending_.empty() && pending_.begin()->first <= version_ + 1) {
         auto node = pending_.extract(pending_.begin());
@@ -144,21 +144,21 @@
     }
 }
 
-void ConfigurationLog::keepRecent(LogEntry entry, bool isApplied)
+void ConfigurationLog::addRecent(LogEntry entry, bool isApplied)
 {
-    recentSize_ += sizeOf(entry);
+    recentBytes_ += approximateSize(entry);
     recent_.push_back({std::move(entry), isApplied});
-    while (recent_.size() > recentLimit || (recentSize_ > recentSizeLimit && recent_.size() > 1)) {
-        recentSize_ -= sizeOf(recent_.front().entry);
+    while (recent_.size() > maxRecentEntries || (recentBytes_ > maxRecentBytes && recent_.size() > 1)) {
+        recentBytes_ -= approximateSize(recent_.front().entry);
         recent_.pop_front();
     }
 }
 
-std::size_t ConfigurationLog::pendingSize() const
+std::size_t ConfigurationLog::pendingBytes() const
 {
     std::size_t size = 0;
     for (const auto &[sequence, entry] : pending_) {
-        size += sizeOf(entry);
+        size += approximateSize(entry);
     }
     return size;
 }
@@ -173,7 +173,7 @@
     return state_;
 }
 
-std::optional<SequenceRange> ConfigurationLog::missing() const
+std::optional<SequenceRange> ConfigurationLog::missingRange() const
 {
     if (pending_.empty()) {
         return std::nullopt;
@@ -183,8 +183,8 @@
 
 std::optional<std::vector<LogEntry>> ConfigurationLog::entriesAfter(std::int64_t sequence, std::size_t limit) const
 {
-    const std::int64_t firstKept = version_ - static_cast<std::int64_t>(recent_.size()) + 1;
-    if (sequence + 1 < firstKept) {
+    const std::int64_t firstRecent = version_ - static_cast<std::int64_t>(recent_.size()) + 1;
+    if (sequence + 1 < firstRecent) {
         return std::nullopt;
     }
     std::vector<LogEntry> entries;
@@ -237,8 +237,8 @@
     hostsSequence_ = snapshot.hostsSequence;
     previousHosts_ = std::move(snapshot.previousHosts);
     recent_.clear();
-    recentSize_ = 0;
-    drainPending();
+    recentBytes_ = 0;
+    replayPending();
     return true;
 }
 
--- a/coordination/configuration_log_entry.h
+++ b/coordination/configuration_log_entry.h
@@ -11,10 +11,10 @@
 namespace Lovageloft
 {
 
-/// What a ticket did to one object: the digests of its JSON text before and after, empty where it did not exist.
+/// The change of one object by a ticket: the digests of its JSON text before and after, empty where it did not exist.
 struct ObjectChange
 {
-    std::string object; ///< As objectId names it.
+    std::string object; ///< As returned by objectId().
     std::string before;
     std::string after;
 
@@ -24,22 +24,21 @@
 /// One committed change: the value of one key of the configuration log.
 struct LogEntry
 {
-    std::int64_t sequence = 0; ///< From 1 on, without gaps.
-    std::string nonce; ///< Drawn anew for each commit, so that a committer knows its own entry after a lost answer.
-    std::int64_t committedAt = 0; ///< Milliseconds since 1970 by the committing host's wall clock; for the audit trail only.
+    std::int64_t sequence = 0; ///< Counts from 1, without gaps.
+    std::string nonce; ///< Random for each commit, so that a committer recognizes its own entry after a lost response.
+    std::int64_t committedAt = 0; ///< Milliseconds since 1970 by the wall clock of the committing host; used for the audit trail only.
     std::vector<ObjectChange> changes;
-    Ticket ticket; ///< Without objects in an entry that could not be read.
+    Ticket ticket; ///< Has no objects in an entry that could not be read.
 
     bool operator==(const LogEntry &) const = default;
 };
 
-/// The greatest length of an entry's text in bytes; the store holds values up to a megabyte.
-constexpr std::size_t greatestEntrySize = 1'000'000;
+/// Maximum length of an entry's text in bytes; the store accepts values up to a megabyte.
+constexpr std::size_t maxEntrySize = 1'000'000;
 
-/// The entry as JSON.
 std::string formatLogEntry(const LogEntry &entry);
 
-/// Reads an entry and its ticket, checking every field; what can't be read is TicketInvalid.
+/// Reads an entry and its ticket and checks every field. The reason is TicketInvalid if something can't be read.
 std::optional<LogEntry> parseLogEntry(std::string_view json, Reason &reason);
 
 } // namespace Lovageloft
--- a/coordination/configuration_log_store.cpp
+++ b/coordination/configuration_log_store.cpp
@@ -14,19 +14,20 @@
 
 constexpr std::size_t sequenceDigits = 12;
 constexpr std::int64_t blockSize = 100;
-constexpr std::size_t blockDigits = 2; // The digits of a sequence number within its block.
-constexpr std::size_t partSize = 500'000;
-constexpr int snapshotReadAttempts = 3;
-/// Writes of the last entry in force: one that may meet another host's, and one that goes on from what that host wrote.
-constexpr int recordAttempts = 2;
+constexpr std::size_t blockDigits = 2; // The last digits of a sequence number, which number it within its block.
+constexpr std::size_t maxPartBytes = 500'000;
+constexpr int maxSnapshotReadAttempts = 3;
+/// Attempts to record the last entry in force: the first may conflict with the write of another host, and the second uses the revision read
+/// after that.
+constexpr int maxRecordAttempts = 2;
 
-std::string padded(std::int64_t number, std::size_t digits)
+std::string zeroPadded(std::int64_t number, std::size_t digits)
 {
     std::string text = std::to_string(number);
     return text.size() < digits ? std::string(digits - text.size(), '0') + text : text;
 }
 
-std::int64_t numberIn(std::string_view text)
+std::int64_t parseNumber(std::string_view text)
 {
     std::int64_t number = 0;
     std::from_chars(text.data(), text.data() + text.size(), number);
@@ -56,9 +57,9 @@
         std::optional<LogEntry> next;
         const StoreStatus status = read(log.version() + 1, next);
         if (status == StoreStatus::NotFound) {
-            // A log that ends before its snapshot has lost its old entries, and the snapshot could not be read. Taken for the whole log
-            // it would make this host serve, as confirmed, a state long past; callers would notice keys that work again.
-            return log.version() < lastSnapshot_ ? StoreStatus::Unavailable : StoreStatus::Ok;
+            // A log that ends before its snapshot has lost its old entries, and the snapshot could not be read. If this were treated as the
+            // complete log, the host would serve a long outdated state as confirmed, and withdrawn keys would work again.
+            return log.version() < lastSnapshotSequence_ ? StoreStatus::Unavailable : StoreStatus::Ok;
         }
         if (status != StoreStatus::Ok) {
             return status;
@@ -70,8 +71,8 @@
     }
 }
 
-/// Adds the rest of the block that holds the next entry. The whole log is never listed: it grows by 2,200 entries a day,
-/// and a start would take longer each week and at last exceed the memory of a small host.
+/// Adds the rest of the block that contains the next entry. Listing the complete log is avoided: it grows by 2,200 entries a day, so starts
+/// would get slower each week and finally exceed the memory of a small host.
 StoreStatus ConfigurationLogStore::addBlock(ConfigurationLog &log)
 {
     const std::int64_t next = log.version() + 1;
@@ -92,7 +93,7 @@
         if (stored.isDeleted || !stored.key.starts_with(logPrefix())) {
             continue;
         }
-        const AddOutcome outcome = log.add(entryOf(stored));
+        const AddOutcome outcome = log.add(parseStored(stored));
         added += outcome == AddOutcome::Duplicate || outcome == AddOutcome::Dropped ? 0 : 1;
     }
     return added;
@@ -107,7 +108,7 @@
 {
     const StoreReply reply = store_.get(entryKey(sequence));
     if (reply.status == StoreStatus::Ok) {
-        entry = entryOf(reply.entry);
+        entry = parseStored(reply.entry);
     }
     return reply.status;
 }
@@ -117,26 +118,26 @@
     const std::int64_t block = range.first / blockSize;
     std::vector<LogEntry> entries;
     for (std::int64_t current = block; current <= range.last / blockSize && current <= block + 1; ++current) {
-        const StoreListReply reply = store_.list(logPrefix() + padded(current, sequenceDigits - blockDigits));
+        const StoreListReply reply = store_.list(logPrefix() + zeroPadded(current, sequenceDigits - blockDigits));
         if (reply.status != StoreStatus::Ok) {
             return std::nullopt;
         }
         for (const StoreEntry &stored : reply.entries) {
-            const std::int64_t sequence = numberIn(std::string_view(stored.key).substr(logPrefix().size()));
+            const std::int64_t sequence = parseNumber(std::string_view(stored.key).substr(logPrefix().size()));
             if (sequence < range.first || sequence > range.last || entries.size() >= blockSize) {
                 continue;
             }
-            entries.push_back(entryOf(stored));
+            entries.push_back(parseStored(stored));
         }
     }
     return entries;
 }
 
-/// An entry that can't be read still takes its number, with a ticket that is valid nowhere. Without that a single damaged
-/// value would stop every host at the entry before it, which operators would notice as tickets that never come into force.
-LogEntry ConfigurationLogStore::entryOf(const StoreEntry &stored) const
+/// Parses a stored entry. An entry that can't be read still takes its number, with a ticket that is never valid. Otherwise a single damaged
+/// value would stop every host at the entry before it, and no later ticket would come into force.
+LogEntry ConfigurationLogStore::parseStored(const StoreEntry &stored) const
 {
-    const std::int64_t sequence = numberIn(std::string_view(stored.key).substr(logPrefix().size()));
+    const std::int64_t sequence = parseNumber(std::string_view(stored.key).substr(logPrefix().size()));
     Reason reason;
     std::optional<LogEntry> entry = parseLogEntry(stored.value, reason);
     if (!entry.has_value() || entry->sequence != sequence) {
@@ -148,15 +149,15 @@
 
 bool ConfigurationLogStore::writeSnapshotIfDue(const ConfigurationLog &log, std::int64_t interval)
 {
-    if (log.version() - lastSnapshot_ < interval) {
+    if (log.version() - lastSnapshotSequence_ < interval) {
         return false;
     }
-    Pointer pointer;
+    SnapshotPointer pointer;
     const StoreStatus status = readPointer(pointer);
     if (status != StoreStatus::Ok && status != StoreStatus::NotFound) {
         return false;
     }
-    if (log.version() - lastSnapshot_ < interval) {
+    if (log.version() - lastSnapshotSequence_ < interval) {
         return false;
     }
     const std::string text = formatSnapshot(log.snapshot());
@@ -168,16 +169,16 @@
     if (store_.compareAndSwap(prefix_ + "config/snapshot", pointer.revision, value).status != StoreStatus::Ok) {
         return false;
     }
-    lastSnapshot_ = log.version();
+    lastSnapshotSequence_ = log.version();
     deletePartsBefore(log.version());
     return true;
 }
 
 bool ConfigurationLogStore::writeParts(std::int64_t sequence, std::string_view text, std::size_t &parts)
 {
-    for (std::size_t begin = 0; begin < text.size(); begin += partSize) {
-        const StoreStatus status = store_.compareAndSwap(partKey(sequence, parts), 0, text.substr(begin, partSize)).status;
-        // A conflict is another host's part of the same entry's snapshot, which has the same text.
+    for (std::size_t begin = 0; begin < text.size(); begin += maxPartBytes) {
+        const StoreStatus status = store_.compareAndSwap(partKey(sequence, parts), 0, text.substr(begin, maxPartBytes)).status;
+        // A conflict means that another host wrote this part of a snapshot at the same entry, which has the same text.
         if (status != StoreStatus::Ok && status != StoreStatus::Conflict) {
             return false;
         }
@@ -197,9 +198,9 @@
 
 std::optional<ConfigurationSnapshot> ConfigurationLogStore::readSnapshot(StoreStatus &status)
 {
-    // A newer snapshot may delete the parts between the two reads; the pointer is then read again.
-    for (int attempt = 0; attempt < snapshotReadAttempts; ++attempt) {
-        Pointer pointer;
+    // Another host may write a newer snapshot and delete these parts between the two reads; the pointer is then read again.
+    for (int attempt = 0; attempt < maxSnapshotReadAttempts; ++attempt) {
+        SnapshotPointer pointer;
         status = readPointer(pointer);
         if (status != StoreStatus::Ok) {
             return std::nullopt;
@@ -221,7 +222,7 @@
 
 std::optional<std::int64_t> ConfigurationLogStore::readInForce()
 {
-    if (!takeInForce(store_.get(inForceKey()))) {
+    if (!applyInForceReply(store_.get(inForceKey()))) {
         return std::nullopt;
     }
     return inForce_.sequence;
@@ -229,7 +230,7 @@
 
 std::optional<std::int64_t> ConfigurationLogStore::recordInForce(std::int64_t sequence)
 {
-    for (int attempt = 0; attempt < recordAttempts && inForce_.sequence < sequence; ++attempt) {
+    for (int attempt = 0; attempt < maxRecordAttempts && inForce_.sequence < sequence; ++attempt) {
         const StoreReply reply = store_.compareAndSwap(inForceKey(), inForce_.revision, std::to_string(sequence));
         if (reply.status == StoreStatus::Ok) {
             inForce_ = {sequence, reply.entry.revision};
@@ -242,7 +243,7 @@
     return inForce_.sequence < sequence ? std::nullopt : std::optional(inForce_.sequence);
 }
 
-bool ConfigurationLogStore::takeInForce(const StoreReply &reply)
+bool ConfigurationLogStore::applyInForceReply(const StoreReply &reply)
 {
     if (reply.status == StoreStatus::NotFound) {
         inForce_.revision = 0;
@@ -251,11 +252,11 @@
     if (reply.status != StoreStatus::Ok) {
         return false;
     }
-    inForce_ = {std::max(inForce_.sequence, numberIn(reply.entry.value)), reply.entry.revision};
+    inForce_ = {std::max(inForce_.sequence, parseNumber(reply.entry.value)), reply.entry.revision};
     return true;
 }
 
-StoreStatus ConfigurationLogStore::readPointer(Pointer &pointer)
+StoreStatus ConfigurationLogStore::readPointer(SnapshotPointer &pointer)
 {
     const StoreReply reply = store_.get(prefix_ + "config/snapshot");
     pointer.revision = reply.entry.revision;
@@ -263,15 +264,15 @@
     const std::size_t first = value.find(' ');
     const std::size_t second = value.rfind(' ');
     if (reply.status == StoreStatus::Ok && first != std::string_view::npos && second > first) {
-        pointer.sequence = numberIn(value.substr(0, first));
-        pointer.parts = static_cast<std::size_t>(numberIn(value.substr(first + 1, second - first - 1)));
+        pointer.sequence = parseNumber(value.substr(0, first));
+        pointer.parts = static_cast<std::size_t>(parseNumber(value.substr(first + 1, second - first - 1)));
         pointer.digest = value.substr(second + 1);
-        lastSnapshot_ = std::max(lastSnapshot_, pointer.sequence);
+        lastSnapshotSequence_ = std::max(lastSnapshotSequence_, pointer.sequence);
     }
     return reply.status;
 }
 
-StoreStatus ConfigurationLogStore::readParts(const Pointer &pointer, std::string &text)
+StoreStatus ConfigurationLogStore::readParts(const SnapshotPointer &pointer, std::string &text)
 {
     for (std::size_t part = 0; part < pointer.parts; ++part) {
         const StoreReply reply = store_.get(partKey(pointer.sequence, part));
@@ -295,7 +296,7 @@
 
 std::string ConfigurationLogStore::entryKey(std::int64_t sequence) const
 {
-    return logPrefix() + padded(sequence, sequenceDigits);
+    return logPrefix() + zeroPadded(sequence, sequenceDigits);
 }
 
 std::string ConfigurationLogStore::partsPrefix() const
@@ -306,7 +307,7 @@
 std::string ConfigurationLogStore::partKey(std::int64_t sequence, std::size_t part) const
 {
     constexpr std::size_t partDigits = 4;
-    return partsPrefix() + padded(sequence, sequenceDigits) + '/' + padded(static_cast<std::int64_t>(part), partDigits);
+    return partsPrefix() + zeroPadded(sequence, sequenceDigits) + '/' + zeroPadded(static_cast<std::int64_t>(part), partDigits);
 }
 
 } // namespace Lovageloft
--- a/coordination/configuration_log_store.h
+++ b/coordination/configuration_log_store.h
@@ -13,58 +13,61 @@
 namespace Lovageloft
 {
 
-/// The configuration log as it lies in the store: one key an entry below `PREFIXconfig/log/`, and a snapshot. Entries are only
-/// ever created, never changed or deleted, so that the log is the audit trail. A snapshot is a pointer at `PREFIXconfig/snapshot`
-/// to numbered parts, since the state of the target size (580 teams, 1,000 targets) comes near the megabyte that a value may have.
+/// The configuration log as stored: one key for each entry below `PREFIXconfig/log/`, and a snapshot. Entries are only created, never
+/// changed or deleted, so that the log is the audit trail. The snapshot consists of a pointer at `PREFIXconfig/snapshot` and numbered
+/// parts, because the state at the intended size (580 teams, 1,000 targets) is close to the megabyte that a value may have.
 class ConfigurationLogStore
 {
 public:
     /// `prefix` ends in "/" or is empty. The store must outlive this object.
     ConfigurationLogStore(Store &store, std::string prefix);
 
-    /// Brings the replica up to the store. Ok means that every entry committed before this call began is in `log`, so a
-    /// freshness gate may take the time at which it began as confirmed; the store's reads must be linearizable for that. One read when nothing is new; an empty
-    /// replica first takes the snapshot.
+    /// Adds all entries in the store that the replica lacks. Ok means that every entry committed before this call began is in `log`, so a
+    /// freshness gate may use the start of the call as the time of a confirmation; the store's reads must be linearizable for that. Costs
+    /// one read if nothing is new. An empty replica is restored from the snapshot first.
     StoreStatus catchUp(ConfigurationLog &log);
 
-    /// Adds the entries that a watch below logPrefix() brought; returns how many of them were new.
+    /// Adds the entries that a watch of logPrefix() delivered. Returns how many of them were new.
     std::size_t addWatchedEntries(ConfigurationLog &log, std::span<const StoreEntry> entries) const;
 
-    /// The reply of one attempt to create the entry's key. A conflict's reply may hold the entry that came first.
+    /// Makes one attempt to create the key of the entry and returns the store's reply. On a conflict the reply may contain the entry that
+    /// was created first.
     StoreReply create(const LogEntry &entry);
 
-    /// Reads one entry. In an Ok reply without an `entry` the key is there and its value is not an entry: hosts skip it.
+    /// Reads one entry. `entry` is set if the status is Ok; if the stored value is not a valid entry, it has a ticket without objects, and
+    /// hosts skip it.
     StoreStatus read(std::int64_t sequence, std::optional<LogEntry> &entry);
 
-    /// The entries from `range.first` to `range.last`, at most 100 of them, as long as there are such; nothing if the store gave no answer.
+    /// Reads the existing entries from `range.first` to `range.last`, at most 100 of them. Empty if the store gave no answer.
     std::optional<std::vector<LogEntry>> readRange(SequenceRange range);
 
-    /// Writes a snapshot of the replica if the last one is at least `interval` entries older. A lost race or answer does no
-    /// harm: the snapshot is a cache, and the next entry tries again. Returns whether one was written.
+    /// Writes a snapshot of the replica if the last one is at least `interval` entries older. A lost race or a lost response is harmless,
+    /// because the snapshot is a cache and the write is tried again after the next entry. Returns whether a snapshot was written.
     bool writeSnapshotIfDue(const ConfigurationLog &log, std::int64_t interval = defaultSnapshotInterval);
 
-    /// The snapshot, or nothing if there is none or it can't be read; `status` tells which.
+    /// Reads the snapshot. Empty if there is none or it can't be read; `status` tells which.
     std::optional<ConfigurationSnapshot> readSnapshot(StoreStatus &status);
 
-    /// The last entry that a host wrote down as in force, 0 if none did. Once true it stays true, so an old answer does no harm.
-    /// Nothing if the store gave no answer.
+    /// Reads the last entry that a host recorded as in force, 0 if there is none. Empty if the store gave no answer. An outdated result is
+    /// harmless, because an entry that is in force stays in force.
     std::optional<std::int64_t> readInForce();
 
-    /// Writes down that the entry is in force, unless a later one is known to be. Returns the last entry then known to be written
-    /// down, or nothing if the store gave no answer or another host came first more than once.
+    /// Records in the store that the entry is in force, unless a later entry is already recorded. Returns the last entry known to be
+    /// recorded, or empty if the store gave no answer or another host's write came first more than once.
     std::optional<std::int64_t> recordInForce(std::int64_t sequence);
 
-    /// Where the entries lie, for a watch.
+    /// The prefix of the keys of all entries, for a watch.
     std::string logPrefix() const;
 
     std::string entryKey(std::int64_t sequence) const;
 
-    /// At 2,200 changes a day a snapshot of up to a few megabytes every hour or so, and a start reads two blocks at most.
+    /// At 2,200 changes a day this writes a snapshot of up to a few megabytes about once an hour, and a starting host reads at most two
+    /// blocks of entries.
     static constexpr std::int64_t defaultSnapshotInterval = 100;
 
 private:
     /// The value of the snapshot key.
-    struct Pointer
+    struct SnapshotPointer
     {
         std::int64_t sequence = 0;
         std::size_t parts = 0;
@@ -79,20 +82,20 @@
         std::int64_t revision = 0;
     };
 
-    bool takeInForce(const StoreReply &reply);
-    StoreStatus readPointer(Pointer &pointer);
-    StoreStatus readParts(const Pointer &pointer, std::string &text);
+    bool applyInForceReply(const StoreReply &reply);
+    StoreStatus readPointer(SnapshotPointer &pointer);
+    StoreStatus readParts(const SnapshotPointer &pointer, std::string &text);
     bool writeParts(std::int64_t sequence, std::string_view text, std::size_t &parts);
     void deletePartsBefore(std::int64_t sequence);
     StoreStatus addBlock(ConfigurationLog &log);
-    LogEntry entryOf(const StoreEntry &stored) const;
+    LogEntry parseStored(const StoreEntry &stored) const;
     std::string inForceKey() const;
     std::string partsPrefix() const;
     std::string partKey(std::int64_t sequence, std::size_t part) const;
 
     Store &store_;
     std::string prefix_;
-    std::int64_t lastSnapshot_ = 0; ///< The newest snapshot known to have been in the store; saves a read for each entry.
+    std::int64_t lastSnapshotSequence_ = 0; ///< The newest snapshot known to have been stored; saves a read per entry.
     InForceRecord inForce_;
 };
 
--- a/tests/coordination/test_configuration.cpp
+++ b/tests/coordination/test_configuration.cpp
@@ -18,7 +18,7 @@
 
 BOOST_AUTO_TEST_SUITE(ConfigurationTest)
 
-BOOST_AUTO_TEST_CASE(aTicketSurvivesItsText)
+BOOST_AUTO_TEST_CASE(aTicketRoundTripsThroughJson)
 {
     Ticket ticket = teamTicket(3, "desk", 50);
     ticket.objects.emplace_back(TargetConfiguration{"e1", TargetKind::Engine, "", "127.0.0.1:9", "dc1", "m", true, TargetState::Leaving, {}});
@@ -40,8 +40,8 @@
 
 BOOST_AUTO_TEST_CASE(anOlderTicketNeverReverts)
 {
-    // Two operators race and the slower one's older ticket arrives last. Without the check a team would find
-    // its new rate gone again.
+    // Guards against two racing operators of whom the slower one's older ticket arrives last. Without the check it would overwrite a team's
+    // new rate.
     ConfigurationState state;
     Reason reason;
     BOOST_TEST(state.apply(teamTicket(5, "desk", 50), reason));
@@ -65,7 +65,7 @@
     BOOST_TEST(!state.teams().contains("press"));
 }
 
-BOOST_AUTO_TEST_CASE(badTicketsAreRefusedWithTheField)
+BOOST_AUTO_TEST_CASE(invalidTicketsAreRejectedWithTheField)
 {
     Reason reason;
     BOOST_TEST(!parseTicket("{", reason).has_value());
--- a/tests/coordination/test_configuration_log.cpp
+++ b/tests/coordination/test_configuration_log.cpp
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_SUITE(ConfigurationLogTest)
 
-BOOST_AUTO_TEST_CASE(anEntrySurvivesItsText)
+BOOST_AUTO_TEST_CASE(anEntryRoundTripsThroughJson)
 {
     LogEntry entry = makeEntry(7, 3, 0.1);
     entry.ticket.operatorName = "a.b";
@@ -56,8 +56,8 @@
 
 BOOST_AUTO_TEST_CASE(anyOrderOfDeliveryGivesTheSameState)
 {
-    // Entries reach a host from the store's watch and from several peers, twice, late and out of order. A host that applied them
-    // as they come would serve another rate than its neighbours.
+    // Entries reach a host from the store's watch and from several peers: duplicated, late and out of order. A host that applied them in
+    // order of arrival would serve another rate than the other hosts.
     constexpr std::int64_t count = 30;
     std::vector<LogEntry> entries;
     ConfigurationLog inOrder;
@@ -81,21 +81,22 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aGapIsKeptBoundedAndAskedFor)
+BOOST_AUTO_TEST_CASE(pendingEntriesAreBoundedAndMissingOnesRequested)
 {
-    // A peer that is far ahead floods a host that lacks one entry. Without a bound the host's memory would grow until it is killed.
+    // Guards against a peer that is far ahead and sends many entries to a host that lacks one. Without a limit the host's memory would grow
+    // until the process is killed.
     ConfigurationLog log;
     BOOST_TEST((log.add(makeEntry(1, 1, 1)) == AddOutcome::Applied));
     for (std::int64_t sequence = 5'000; sequence > 4; --sequence) {
         log.add(makeEntry(sequence, sequence, 1));
     }
-    BOOST_TEST((log.missing() == SequenceRange{2, 4}));
+    BOOST_TEST((log.missingRange() == SequenceRange{2, 4}));
     BOOST_TEST((log.add(makeEntry(5'000, 5'000, 1)) == AddOutcome::Dropped));
     for (std::int64_t sequence = 2; sequence <= 4; ++sequence) {
         log.add(makeEntry(sequence, sequence, 1));
     }
     BOOST_TEST(log.version() == 260);
-    BOOST_TEST(!log.missing().has_value());
+    BOOST_TEST(!log.missingRange().has_value());
     const auto entries = log.entriesAfter(250, 100);
     BOOST_REQUIRE(entries.has_value());
     BOOST_TEST(entries->size() == 10);
@@ -106,7 +107,7 @@
     MemoryStore store;
     ConfigurationLogStore logStore(store, "t/");
     logStore.create(makeEntry(1, 9, 1));
-    logStore.create(makeEntry(2, 3, 2)); // Stale at its place.
+    logStore.create(makeEntry(2, 3, 2)); // Its ticket is stale at this point of the log.
     store.compareAndSwap(logStore.entryKey(3), 0, "damaged", 0);
     logStore.create(makeEntry(4, 10, 4));
     ConfigurationLog log;
@@ -136,10 +137,10 @@
     BOOST_TEST(second.state().teams().at("desk").rate == 251);
 }
 
-BOOST_AUTO_TEST_CASE(aDamagedSnapshotIsOnlyACache)
+BOOST_AUTO_TEST_CASE(aDamagedSnapshotIsIgnored)
 {
-    // A host dies between two parts of a snapshot, or an operator's tool damages one. A host that trusted it would start with half
-    // of the teams; without it the whole log is replayed.
+    // Guards against a host that crashes between two parts of a snapshot, and against an operator's tool that damages one. A host that used
+    // it would start with half of the teams; instead the whole log is replayed.
     MemoryStore store;
     ConfigurationLogStore logStore(store, "t/");
     fill(logStore, 120);
@@ -161,7 +162,7 @@
         store.compareAndDelete(entry.key, entry.revision);
     }
     ConfigurationLog fourth;
-    BOOST_TEST((logStore.catchUp(fourth) == StoreStatus::Unavailable)); // Never an empty state as the confirmed one.
+    BOOST_TEST((logStore.catchUp(fourth) == StoreStatus::Unavailable)); // An empty state must never count as confirmed.
 }
 
 BOOST_AUTO_TEST_CASE(aSnapshotLongerThanAValueIsSplit)
@@ -181,7 +182,7 @@
     for (const StoreEntry &part : store.list("t/").entries) {
         longest = std::max(longest, part.value.size());
     }
-    BOOST_TEST(longest <= greatestEntrySize);
+    BOOST_TEST(longest <= maxEntrySize);
     ConfigurationLog other;
     BOOST_TEST((logStore.catchUp(other) == StoreStatus::Ok));
     BOOST_TEST(other.state().toJson() == log.state().toJson());
@@ -189,8 +190,8 @@
 
 BOOST_AUTO_TEST_CASE(theListOfHostsChangesByOneHost)
 {
-    // An operator replaces two hosts with one ticket. A majority of the old list and one of the new could then miss each other, and
-    // a cut-off host would find enough others as ignorant as itself to honour a withdrawn key.
+    // Guards against a ticket that replaces two hosts. A majority of the old list and one of the new list need not have a host in common,
+    // so a host that is cut off could find a majority that holds nothing newer than itself and accept a withdrawn key.
     const std::vector<std::pair<std::vector<std::string>, bool>> cases{
         {{"a", "b", "c"}, true},
         {{"a", "b", "c", "d"}, true},
@@ -208,7 +209,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(theReplicaKnowsTheFormerHosts)
+BOOST_AUTO_TEST_CASE(theReplicaKnowsThePreviousHosts)
 {
     ConfigurationLog log;
     LogEntry entry = makeEntry(1, 1, 1);
@@ -228,7 +229,7 @@
     BOOST_TEST((other.hostNames() == std::vector<std::string>{"a", "b"}));
 }
 
-BOOST_AUTO_TEST_CASE(theAuditTellsWhoChangedWhat)
+BOOST_AUTO_TEST_CASE(theAuditShowsWhoChangedWhat)
 {
     MemoryStore store;
     ConfigurationLogStore logStore(store, "t/");
--- a/tests/coordination/test_configuration_log_store.cpp
+++ b/tests/coordination/test_configuration_log_store.cpp
@@ -9,23 +9,23 @@
 
 BOOST_AUTO_TEST_CASE(anEarlierEntryNeverReplacesALaterOneAsInForce)
 {
-    // Two hosts learn at different times what is in force, and the slower one writes last. Were its older entry to stay, a host that
-    // starts alone would wait for the others although the newest entry is in force.
+    // Two hosts learn at different times what is in force, and the slower one writes last. If its older entry replaced the newer one, a
+    // host that starts alone would wait for the others although the newest entry is in force.
     LossyStore store{[] { return TimePoint(); }};
-    ConfigurationLogStore quick(store, "p/");
-    ConfigurationLogStore slow(store, "p/");
-    BOOST_TEST(quick.recordInForce(7).value_or(-1) == 7);
-    BOOST_TEST(slow.recordInForce(5).value_or(-1) == 7);
+    ConfigurationLogStore faster(store, "p/");
+    ConfigurationLogStore slower(store, "p/");
+    BOOST_TEST(faster.recordInForce(7).value_or(-1) == 7);
+    BOOST_TEST(slower.recordInForce(5).value_or(-1) == 7);
     BOOST_TEST(ConfigurationLogStore(store, "p/").readInForce().value_or(-1) == 7);
-    BOOST_TEST(slow.recordInForce(9).value_or(-1) == 9);
-    BOOST_TEST(quick.recordInForce(10).value_or(-1) == 10);
+    BOOST_TEST(slower.recordInForce(9).value_or(-1) == 9);
+    BOOST_TEST(faster.recordInForce(10).value_or(-1) == 10);
     BOOST_TEST(ConfigurationLogStore(store, "p/").readInForce().value_or(-1) == 10);
 }
 
-BOOST_AUTO_TEST_CASE(aLostAnswerLeavesTheEntryInForceToBeWrittenAgain)
+BOOST_AUTO_TEST_CASE(recordingInForceIsRetriedAfterALostResponse)
 {
-    // The write takes effect and its answer is lost. A host that took this for done, or gave up on it, would leave one that starts
-    // alone without word of what is in force.
+    // The write takes effect and its response is lost. If a host treated this as done, or gave up, a host that starts alone would not learn
+    // what is in force.
     LossyStore store{[] { return TimePoint(); }};
     ConfigurationLogStore log(store, "p/");
     BOOST_TEST(log.readInForce().value_or(-1) == 0);
--- a/tests/coordination/test_ticket_committer.cpp
+++ b/tests/coordination/test_ticket_committer.cpp
@@ -30,10 +30,10 @@
     return hosts;
 }
 
-/// One host that commits: its replica and its committer.
-struct Committing
+/// A host that commits tickets, with its own replica.
+struct CommittingHost
 {
-    explicit Committing(Store &store, TicketCommitter::IsInForce isInForce = {})
+    explicit CommittingHost(Store &store, TicketCommitter::IsInForce isInForce = {})
         : logStore(store, "t/")
         , committer(logStore, log, std::move(isInForce))
     {
@@ -51,8 +51,8 @@
     TicketCommitter committer;
 };
 
-/// Faults in the order given, and none after them. The first call of a commit is a read.
-FaultyStore::ChooseFault inOrder(std::deque<Fault> faults)
+/// Returns the given faults in order, then none. The first call of a commit is a read.
+FaultyStore::ChooseFault faultsInOrder(std::deque<Fault> faults)
 {
     return [faults]() mutable {
         if (faults.empty()) {
@@ -64,25 +64,25 @@
     };
 }
 
-std::int64_t entriesIn(FaultyStore &store)
+std::int64_t countEntries(FaultyStore &store)
 {
     store.setFaults({});
     store.deliverLateWrites();
     return static_cast<std::int64_t>(store.list("t/config/log/").entries.size());
 }
 
-/// Many operators and hosts on one failing store, all drawn from a seed.
-class Race
+/// Several operators and hosts commit on one failing store; all choices are drawn from a seed.
+class RaceSimulation
 {
 public:
-    explicit Race(unsigned seed)
+    explicit RaceSimulation(unsigned seed)
         : random_(seed)
     {
         for (int i = 0; i < 3; ++i) {
             hosts_.emplace_back(store_);
         }
         store_.setFaults([this] { return drawFault(); });
-        store_.setBeforeWrite([this] { mayInterrupt(); });
+        store_.setBeforeWrite([this] { maybeInterrupt(); });
     }
 
     void run()
@@ -112,7 +112,7 @@
         return randomBelow(random_, 3) == 0 ? faults[randomBelow(random_, 4)] : Fault::None;
     }
 
-    void mayInterrupt()
+    void maybeInterrupt()
     {
         if (depth_ < 2 && randomBelow(random_, 3) == 0) {
             commitOne();
@@ -122,8 +122,8 @@
     void commitOne()
     {
         ++depth_;
-        // Each host commits with its own replica; an interrupting operator works at another host than the interrupted ones.
-        Committing &host = hosts_[static_cast<std::size_t>(depth_ - 1)];
+        // Each host commits with its own replica; a nested commit uses another host than the commits that it interrupts.
+        CommittingHost &host = hosts_[static_cast<std::size_t>(depth_ - 1)];
         const Ticket ticket = teamTicket(1 + static_cast<std::int64_t>(randomBelow(random_, 6)), "desk", static_cast<double>(randomBelow(random_, 2)));
         const std::string nonce = "n" + std::to_string(++nonces_);
         const ResultCode code = host.commit(ticket, nonce);
@@ -142,17 +142,17 @@
         Reason reason;
         for (const LogEntry &entry : *entries) {
             sequenceOf[entry.nonce] = entry.sequence;
-            BOOST_REQUIRE_MESSAGE(state.apply(entry.ticket, reason), "an entry that is not valid at its place was committed");
+            BOOST_REQUIRE_MESSAGE(state.apply(entry.ticket, reason), "an entry was committed that is not valid at its position");
         }
         for (const auto &[nonce, outcome] : outcomes_) {
             const bool isInLog = sequenceOf.contains(nonce);
-            BOOST_REQUIRE_MESSAGE(outcome.code != ResultCode::Ok || isInLog, "an accepted ticket is gone");
+            BOOST_REQUIRE_MESSAGE(outcome.code != ResultCode::Ok || isInLog, "an accepted ticket is not in the log");
             BOOST_REQUIRE_MESSAGE(outcome.code == ResultCode::Ok || outcome.code == ResultCode::StoreAnswerLost || !isInLog, "a refused ticket took effect");
             const Ticket &ticket = outcome.ticket;
             const bool isKnown = std::any_of(entries->begin(), entries->end(), [&ticket](const LogEntry &entry) { return entry.ticket == ticket; });
-            BOOST_REQUIRE_MESSAGE(outcome.code != ResultCode::TicketAlreadyAccepted || isKnown, "a ticket was called accepted and is not there");
+            BOOST_REQUIRE_MESSAGE(outcome.code != ResultCode::TicketAlreadyAccepted || isKnown, "a ticket was reported as accepted and is not in the log");
         }
-        for (Committing &host : hosts_) {
+        for (CommittingHost &host : hosts_) {
             BOOST_REQUIRE((host.logStore.catchUp(host.log) == StoreStatus::Ok));
             BOOST_REQUIRE_EQUAL(host.log.state().toJson(), state.toJson());
         }
@@ -160,7 +160,7 @@
 
     Random random_;
     FaultyStore store_;
-    std::deque<Committing> hosts_;
+    std::deque<CommittingHost> hosts_;
     std::map<std::string, Outcome> outcomes_;
     int depth_ = 0;
     int nonces_ = 0;
@@ -170,66 +170,66 @@
 
 BOOST_AUTO_TEST_SUITE(TicketCommitterTest)
 
-BOOST_AUTO_TEST_CASE(theLoserOfARaceTriesOnBehindTheWinner)
+BOOST_AUTO_TEST_CASE(theLoserOfARaceCommitsAfterTheWinner)
 {
     FaultyStore store;
-    Committing slow(store);
-    Committing quick(store);
+    CommittingHost slower(store);
+    CommittingHost faster(store);
     bool isFirst = true;
     store.setBeforeWrite([&] {
         if (std::exchange(isFirst, false)) {
-            BOOST_TEST((quick.commit(teamTicket(1, "press", 1), "q") == ResultCode::Ok));
+            BOOST_TEST((faster.commit(teamTicket(1, "press", 1), "q") == ResultCode::Ok));
         }
     });
-    BOOST_TEST((slow.commit(teamTicket(1, "desk", 1), "s") == ResultCode::Ok));
-    BOOST_TEST(slow.log.version() == 2);
-    BOOST_TEST(slow.log.state().teams().size() == 2);
+    BOOST_TEST((slower.commit(teamTicket(1, "desk", 1), "s") == ResultCode::Ok));
+    BOOST_TEST(slower.log.version() == 2);
+    BOOST_TEST(slower.log.state().teams().size() == 2);
 }
 
 BOOST_AUTO_TEST_CASE(aTicketThatTheWinnerMadeStaleIsRefused)
 {
-    // Two operators change one team at the same moment, and the lower number reaches the store last. Without a new check against
-    // the winner the team's older rate would come back.
+    // Guards against two operators who change one team at the same time, where the lower ticket number reaches the store last. Without
+    // another check after the lost race, the team's older rate would be restored.
     FaultyStore store;
-    Committing slow(store);
-    Committing quick(store);
+    CommittingHost slower(store);
+    CommittingHost faster(store);
     bool isFirst = true;
     store.setBeforeWrite([&] {
         if (std::exchange(isFirst, false)) {
-            BOOST_TEST((quick.commit(teamTicket(6, "desk", 60), "q") == ResultCode::Ok));
+            BOOST_TEST((faster.commit(teamTicket(6, "desk", 60), "q") == ResultCode::Ok));
         }
     });
-    BOOST_TEST((slow.commit(teamTicket(5, "desk", 50), "s") == ResultCode::TicketStale));
-    BOOST_TEST(entriesIn(store) == 1);
+    BOOST_TEST((slower.commit(teamTicket(5, "desk", 50), "s") == ResultCode::TicketStale));
+    BOOST_TEST(countEntries(store) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(anEndlessRaceIsToldSo)
+BOOST_AUTO_TEST_CASE(anEndlessRaceIsReported)
 {
     FaultyStore store;
-    Committing slow(store);
-    Committing quick(store);
+    CommittingHost slower(store);
+    CommittingHost faster(store);
     std::int64_t number = 0;
     bool isNested = false;
     store.setBeforeWrite([&] {
         if (!std::exchange(isNested, true)) {
             ++number;
-            quick.commit(teamTicket(number, "press", 1), "q" + std::to_string(number));
+            faster.commit(teamTicket(number, "press", 1), "q" + std::to_string(number));
             isNested = false;
         }
     });
-    BOOST_TEST((slow.commit(teamTicket(1, "desk", 1), "s") == ResultCode::TicketRaced));
-    BOOST_TEST(entriesIn(store) == 8);
+    BOOST_TEST((slower.commit(teamTicket(1, "desk", 1), "s") == ResultCode::TicketRaced));
+    BOOST_TEST(countEntries(store) == 8);
 }
 
-BOOST_AUTO_TEST_CASE(aLostAnswerIsSettledByReadingBack)
+BOOST_AUTO_TEST_CASE(aLostResponseIsResolvedByReadingBack)
 {
-    // The store commits a ticket and its answer is lost, or the write is lost, or it is still on its way. The operator would be told
-    // that a ticket failed which is in force, or find it committed twice.
+    // The store commits a ticket and its response is lost, or the write is lost, or the write takes effect later. Without reading back, the
+    // operator would be told that a ticket failed which is in force, or it would be committed twice.
     struct Case
     {
         std::deque<Fault> faults;
         ResultCode first;
-        ResultCode again; ///< The same ticket once more, with a sound store.
+        ResultCode retried; ///< The result of the same ticket sent again, with a store without faults.
     };
 
     const std::vector<Case> cases{
@@ -244,22 +244,22 @@
     };
     for (const Case &row : cases) {
         FaultyStore store;
-        Committing host(store);
+        CommittingHost host(store);
         host.commit(teamTicket(1, "press", 1), "earlier");
-        store.setFaults(inOrder(row.faults));
+        store.setFaults(faultsInOrder(row.faults));
         BOOST_TEST((host.commit(teamTicket(5, "desk", 50), "first") == row.first));
         store.setFaults({});
-        BOOST_TEST((host.commit(teamTicket(5, "desk", 50), "again") == row.again));
-        BOOST_TEST(entriesIn(store) == 2);
+        BOOST_TEST((host.commit(teamTicket(5, "desk", 50), "again") == row.retried));
+        BOOST_TEST(countEntries(store) == 2);
     }
 }
 
-BOOST_AUTO_TEST_CASE(aRepeatedTicketIsAcceptedEvenBehindALaterOne)
+BOOST_AUTO_TEST_CASE(aRepeatedTicketIsReportedAcceptedAfterALaterOne)
 {
-    // The answer to ticket 5 is lost, another operator commits ticket 6, and the first one sends 5 again. "Stale" would tell
-    // him that 5 never took effect.
+    // The response to ticket 5 is lost, another operator commits ticket 6, and the first operator sends ticket 5 again. TicketStale would
+    // tell that operator that ticket 5 never took effect.
     FaultyStore store;
-    Committing host(store);
+    CommittingHost host(store);
     BOOST_TEST((host.commit(teamTicket(5, "desk", 50), "a") == ResultCode::Ok));
     BOOST_TEST((host.commit(teamTicket(6, "desk", 60), "b") == ResultCode::Ok));
     BOOST_TEST((host.commit(teamTicket(5, "desk", 50), "c") == ResultCode::TicketAlreadyAccepted));
@@ -268,11 +268,11 @@
 
 BOOST_AUTO_TEST_CASE(aSecondChangeOfHostsWaitsForTheFirst)
 {
-    // Two operators each add a host within a second. A host that has heard of neither counts a majority of a list two changes old,
-    // which need not share a host with the new majority.
+    // Guards against two operators who each add a host within a second. A host that has received neither change counts a majority of a list
+    // that is two changes old, which need not have a host in common with the new majority.
     FaultyStore store;
     std::int64_t inForce = 0;
-    Committing host(store, [&](std::int64_t sequence) { return sequence <= inForce; });
+    CommittingHost host(store, [&](std::int64_t sequence) { return sequence <= inForce; });
     BOOST_TEST((host.commit({1, "nino", {hostsNamed({"a", "b", "c"})}}, "1") == ResultCode::Ok));
     BOOST_TEST((host.commit({2, "nino", {hostsNamed({"a", "b", "c", "d"})}}, "2") == ResultCode::TicketRaced));
     BOOST_TEST((host.commit(teamTicket(2, "desk", 1), "3") == ResultCode::Ok));
@@ -280,10 +280,10 @@
     BOOST_TEST((host.commit({2, "nino", {hostsNamed({"a", "b", "c", "d"})}}, "4") == ResultCode::Ok));
 }
 
-BOOST_AUTO_TEST_CASE(aQuietReplicaCostsOneReadAConfirmation)
+BOOST_AUTO_TEST_CASE(anUpToDateReplicaNeedsOneReadPerConfirmation)
 {
     FaultyStore store;
-    Committing host(store);
+    CommittingHost host(store);
     host.commit(teamTicket(1, "desk", 1), "a");
     const std::size_t before = store.reads();
     BOOST_TEST((host.logStore.catchUp(host.log) == StoreStatus::Ok));
@@ -292,12 +292,12 @@
 
 BOOST_AUTO_TEST_CASE(acceptedTicketsNeverRevertWhateverTheStoreLoses)
 {
-    // Operators at several hosts race while the store goes down, loses answers and lets writes arrive late. A ticket that was
-    // reported accepted must be in the log for good, one that was refused must not, and all hosts must agree.
+    // Operators at several hosts race while the store goes down, loses responses and applies writes late. A ticket reported as accepted
+    // must stay in the log, a refused one must not be in it, and all hosts must agree.
     for (unsigned seed = 0; seed < 4'000; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            Race(seed).run();
+            RaceSimulation(seed).run();
         }
     }
 }
