--- a/coordination/in_force_tracker.h
+++ b/coordination/in_force_tracker.h
@@ -13,10 +13,10 @@
 {
 
 /// Determines when a committed entry is in force: from then on no host serves under an older one. This is the case once a majority of the
-/// caught-up hosts held the entry at the same time and, since that time, either the window has passed or every host held the entry at one
-/// time. Reports gathered at different times are not enough: a host could report the entry, restart, catch up from a peer that has not
-/// received the entry yet, and then report no newer entry to a host that is cut off. An operator would be told that a key is withdrawn
-/// although that host still accepts it.
+/// caught-up hosts held the entry at the same time and the window has passed since then, or once all hosts held the entry at the same time.
+/// Reports gathered at different times are not enough: a host could report the entry, restart, catch up from a peer that has not received
+/// the entry yet, and then report no newer entry to a host that is cut off. An operator would be told that a key is withdrawn although that
+/// host still accepts it.
 /// Not thread-safe.
 class InForceTracker
 {
