--- a/coordination/freshness_gate.cpp
+++ b/coordination/freshness_gate.cpp
@@ -38,34 +38,34 @@
     update();
 }
 
-void FreshnessGate::onPeerVouch(const PeerVouch &vouch, TimePoint requestSentAt)
+void FreshnessGate::onPeerVersionReport(const PeerVersionReport &report, TimePoint requestSentAt)
 {
-    record(vouch, requestSentAt);
+    record(report, requestSentAt);
     update();
 }
 
-void FreshnessGate::onPeerVouches(std::span<const TimedVouch> vouches)
+void FreshnessGate::onPeerVersionReports(std::span<const TimedVersionReport> reports)
 {
-    for (const TimedVouch &timed : vouches) {
-        record(timed.vouch, timed.requestSentAt);
+    for (const TimedVersionReport &timed : reports) {
+        record(timed.report, timed.requestSentAt);
     }
     update();
 }
 
-void FreshnessGate::record(const PeerVouch &vouch, TimePoint requestSentAt)
+void FreshnessGate::record(const PeerVersionReport &report, TimePoint requestSentAt)
 {
-    if (vouch.host == self_ || requestSentAt < startedAt_) {
+    if (report.host == self_ || requestSentAt < startedAt_) {
         return;
     }
-    const auto [position, isNew] = peers_.try_emplace(vouch.host);
+    const auto [position, isNew] = peers_.try_emplace(report.host);
     PeerRow &row = position->second;
     if (!isNew) {
-        const bool isFromEarlierProcess = vouch.incarnation != 0 && vouch.incarnation < row.incarnation;
+        const bool isFromEarlierProcess = report.incarnation != 0 && report.incarnation < row.incarnation;
         if (isFromEarlierProcess || requestSentAt <= row.requestSentAt) {
             return;
         }
     }
-    row = {std::max(row.incarnation, vouch.incarnation), vouch.versionHeld, vouch.isCaughtUp, requestSentAt};
+    row = {std::max(row.incarnation, report.incarnation), report.versionHeld, report.isCaughtUp, requestSentAt};
 }
 
 /// Recomputes when freshness ends. Done on each change instead of on each request, because there are thousands of requests a second but
@@ -73,10 +73,10 @@
 void FreshnessGate::update()
 {
     const auto confirmed = confirmedAt();
-    const auto vouched = majorityTime(lists_, [this](const std::string &host) { return vouchedAt(host); });
+    const auto reported = majorityTime(lists_, [this](const std::string &host) { return reportedAt(host); });
     // A majority of reports of any age since the start shows that this host holds everything that was in force when it sent the requests.
     const bool wasCaughtUp = isCaughtUp_;
-    isCaughtUp_ = isCaughtUp_ || confirmed.has_value() || vouched.has_value();
+    isCaughtUp_ = isCaughtUp_ || confirmed.has_value() || reported.has_value();
     if (!wasCaughtUp && isCaughtUp_) {
         update(); // Recomputes with this host counted as part of the majority.
         return;
@@ -86,15 +86,15 @@
         return;
     }
     std::optional<TimePoint> since = confirmed;
-    if (vouched.has_value() && (!since.has_value() || *since < *vouched)) {
-        since = vouched;
+    if (reported.has_value() && (!since.has_value() || *since < *reported)) {
+        since = reported;
     }
     if (since.has_value()) {
         freshUntil_ = *since == TimePoint::max() ? *since : *since + window_;
     }
 }
 
-std::optional<TimePoint> FreshnessGate::vouchedAt(const std::string &host) const
+std::optional<TimePoint> FreshnessGate::reportedAt(const std::string &host) const
 {
     if (host == self_) {
         return isCaughtUp_ ? std::optional(TimePoint::max()) : std::nullopt;
--- a/coordination/freshness_gate.h
+++ b/coordination/freshness_gate.h
@@ -40,16 +40,16 @@
 
     /// Records a peer's version report. `requestSentAt` is the time at which the request was sent; for a report relayed by another host, a
     /// time no later than the one at which the report was true.
-    void onPeerVouch(const PeerVouch &vouch, TimePoint requestSentAt);
+    void onPeerVersionReport(const PeerVersionReport &report, TimePoint requestSentAt);
 
-    /// A report for onPeerVouches(), which records many at once.
-    struct TimedVouch
+    /// A report for onPeerVersionReports(), which records many at once.
+    struct TimedVersionReport
     {
-        PeerVouch vouch;
+        PeerVersionReport report;
         TimePoint requestSentAt;
     };
 
-    void onPeerVouches(std::span<const TimedVouch> vouches);
+    void onPeerVersionReports(std::span<const TimedVersionReport> reports);
 
     /// Whether this process has held, at some time since its start, every entry that was in force at that time. Until then its own reports
     /// don't count towards a majority.
@@ -78,9 +78,9 @@
         TimePoint sentAt;
     };
 
-    void record(const PeerVouch &vouch, TimePoint requestSentAt);
+    void record(const PeerVersionReport &report, TimePoint requestSentAt);
     void update();
-    std::optional<TimePoint> vouchedAt(const std::string &host) const;
+    std::optional<TimePoint> reportedAt(const std::string &host) const;
     std::optional<TimePoint> confirmedAt() const;
     bool isListed() const;
 
--- a/coordination/in_force_tracker.cpp
+++ b/coordination/in_force_tracker.cpp
@@ -50,23 +50,23 @@
     }
 }
 
-void InForceTracker::onPeerVouch(const PeerVouch &vouch, TimePoint requestSentAt, TimePoint responseReceivedAt)
+void InForceTracker::onPeerVersionReport(const PeerVersionReport &report, TimePoint requestSentAt, TimePoint responseReceivedAt)
 {
-    Host &host = hosts_[vouch.host];
-    if (vouch.incarnation < host.incarnation || (vouch.incarnation == host.incarnation && vouch.versionHeld < host.versionHeld)) {
+    Host &host = hosts_[report.host];
+    if (report.incarnation < host.incarnation || (report.incarnation == host.incarnation && report.versionHeld < host.versionHeld)) {
         return; // A report by an earlier process of the host, or one that arrived out of order.
     }
-    if (vouch.incarnation > host.incarnation) {
-        host = Host{vouch.incarnation, 0, false, requestSentAt, {}};
+    if (report.incarnation > host.incarnation) {
+        host = Host{report.incarnation, 0, false, requestSentAt, {}};
     }
-    host.versionHeld = vouch.versionHeld;
-    host.isCaughtUp = vouch.isCaughtUp;
+    host.versionHeld = report.versionHeld;
+    host.isCaughtUp = report.isCaughtUp;
     host.lastRequestSentAt = std::max(host.lastRequestSentAt, requestSentAt);
-    if (!vouch.isCaughtUp) {
+    if (!report.isCaughtUp) {
         return;
     }
     for (const auto &[sequence, knownAt] : tracked_) {
-        if (sequence <= vouch.versionHeld) {
+        if (sequence <= report.versionHeld) {
             host.heldSince.try_emplace(sequence, responseReceivedAt);
         }
     }
--- a/coordination/in_force_tracker.h
+++ b/coordination/in_force_tracker.h
@@ -33,7 +33,7 @@
 
     /// Records a host's own version report, never a relayed one: `requestSentAt` is when the request was sent and `responseReceivedAt` when
     /// the response arrived. The host that runs the tracker reports itself with both times equal.
-    void onPeerVouch(const PeerVouch &vouch, TimePoint requestSentAt, TimePoint responseReceivedAt);
+    void onPeerVersionReport(const PeerVersionReport &report, TimePoint requestSentAt, TimePoint responseReceivedAt);
 
     /// Determines which entries are in force at `now`.
     void advance(TimePoint now);
--- a/tests/coordination/test_freshness_model.cpp
+++ b/tests/coordination/test_freshness_model.cpp
@@ -134,7 +134,7 @@
     }
     for (std::size_t peer = 0; peer < hostCount; ++peer) {
         if (host.rows[peer].requestTick != none) {
-            gate.onPeerVouch({nameOf(peer), 1, host.rows[peer].version, true}, timeOf(host.rows[peer].requestTick));
+            gate.onPeerVersionReport({nameOf(peer), 1, host.rows[peer].version, true}, timeOf(host.rows[peer].requestTick));
         }
     }
     return {gate.isCaughtUp(), gate.isFresh(nowOf(state))};
@@ -339,12 +339,12 @@
             for (const std::int16_t since : host.sinceMoment) {
                 if (since != none) {
                     ++version;
-                    tracker.onPeerVouch({nameOf(index), 1, version, true}, timeOfMoment(since), timeOfMoment(since));
+                    tracker.onPeerVersionReport({nameOf(index), 1, version, true}, timeOfMoment(since), timeOfMoment(since));
                 }
             }
             if (host.reportMoment != none) {
                 const TimePoint requested = mutation_ == RuleMutation::HoldersAtAnyTime ? nowOf(state) : timeOfMoment(host.reportMoment);
-                tracker.onPeerVouch({nameOf(index), 1, version, version > 0}, requested, requested);
+                tracker.onPeerVersionReport({nameOf(index), 1, version, version > 0}, requested, requested);
             }
         }
         tracker.advance(nowOf(state));
