--- a/coordination/freshness_gate.cpp
+++ b/coordination/freshness_gate.cpp
@@ -38,47 +38,47 @@
     update();
 }
 
-void FreshnessGate::onPeerVersionReport(const PeerVersionReport &report, TimePoint askedAt)
+void FreshnessGate::onPeerVersionReport(const PeerVersionReport &report, TimePoint requestSentAt)
 {
-    record(report, askedAt);
+    record(report, requestSentAt);
     update();
 }
 
 void FreshnessGate::onPeerVersionReports(std::span<const TimedVersionReport> reports)
 {
     for (const TimedVersionReport &timed : reports) {
-        record(timed.report, timed.askedAt);
+        record(timed.report, timed.requestSentAt);
     }
     update();
 }
 
-void FreshnessGate::record(const PeerVersionReport &report, TimePoint askedAt)
+void FreshnessGate::record(const PeerVersionReport &report, TimePoint requestSentAt)
 {
-    if (report.host == self_ || askedAt < startedAt_) {
+    if (report.host == self_ || requestSentAt < startedAt_) {
         return;
     }
     const auto [position, isNew] = peers_.try_emplace(report.host);
     PeerRow &row = position->second;
     if (!isNew) {
-        const bool isFormerSelf = report.incarnation != 0 && report.incarnation < row.incarnation;
-        if (isFormerSelf || askedAt <= row.askedAt) {
+        const bool isFromEarlierProcess = report.incarnation != 0 && report.incarnation < row.incarnation;
+        if (isFromEarlierProcess || requestSentAt <= row.requestSentAt) {
             return;
         }
     }
-    row = {std::max(row.incarnation, report.incarnation), report.versionHeld, report.isCaughtUp, askedAt};
+    row = {std::max(row.incarnation, report.incarnation), report.versionHeld, report.isCaughtUp, requestSentAt};
 }
 
-/// Works out the end of freshness from what is known now. Done at each change instead of at each request: requests come by the
-/// thousand a second, news a few times.
+/// Recomputes when freshness ends. Done on each change instead of on each request, because there are thousands of requests a second but
+/// only a few changes.
 void FreshnessGate::update()
 {
     const auto confirmed = confirmedAt();
     const auto reported = majorityTime(lists_, [this](const std::string &host) { return reportedAt(host); });
-    // The same majority, but of any age since the start, has seen to it that this host knows what was in force when it asked.
+    // A majority of reports of any age since the start shows that this host holds everything that was in force when it sent the requests.
     const bool wasCaughtUp = isCaughtUp_;
     isCaughtUp_ = isCaughtUp_ || confirmed.has_value() || reported.has_value();
     if (!wasCaughtUp && isCaughtUp_) {
-        update(); // Once more, with this host as one of the majority.
+        update(); // Recomputes with this host counted as part of the majority.
         return;
     }
     freshUntil_.reset();
@@ -103,7 +103,7 @@
     if (row == peers_.end() || !row->second.isCaughtUp || row->second.versionHeld > versionHeld_) {
         return std::nullopt;
     }
-    return row->second.askedAt;
+    return row->second.requestSentAt;
 }
 
 std::optional<TimePoint> FreshnessGate::confirmedAt() const
