--- a/gateway/cache_plan.cpp
+++ b/gateway/cache_plan.cpp
@@ -8,32 +8,32 @@
 namespace
 {
 
-/// A prompt is saved where one token in this many, at least, can be of use to others. A save sends the whole prompt over the store's one
-/// link. Where most of it is the caller's own, saves that nobody else can use fill that link: the store takes one in two, and
-/// prompts that fetch wait behind them. With this limit engines computed a quarter fewer shared tokens again.
-constexpr std::uint32_t leastSavedShare = 4;
+/// A prompt is saved only if at least one token in this many is shared with other prompts. A save sends the whole prompt over the cache
+/// store's single network link. Without the limit, saves of prompts that are mostly unique fill that link: the store accepts only
+/// every second save, and fetches wait behind them. With the limit, engines recompute a quarter fewer shared tokens.
+constexpr std::uint32_t maxPromptToSharedRatio = 4;
 
-/// Whether the engine has to compute some of the shared parts. What it holds is known in whole blocks only.
-bool isCold(const CacheQuestion &question)
+/// Whether the engine has to compute some of the shared parts. Its cached tokens are known in whole blocks only.
+bool hasUncachedBlocks(const CachePlanInput &input)
 {
-    const std::uint32_t wholeBlocks = question.sharedTokens / partBlockTokens * partBlockTokens;
-    return wholeBlocks == 0 || question.cachedTokens < wholeBlocks;
+    const std::uint32_t wholeBlockTokens = input.sharedTokens / partBlockTokens * partBlockTokens;
+    return wholeBlockTokens == 0 || input.cachedTokens < wholeBlockTokens;
 }
 
 } // namespace
 
-/// Short shared parts are fetched as well: a fetch of 570 tokens takes an engine a few milliseconds, as much as computing them, but leaves
-/// it free for others.
-CachePlan planCache(const CacheQuestion &question)
+/// Short shared parts are fetched as well: a fetch of 570 tokens takes a few milliseconds, as long as computing them, but leaves the engine
+/// free for other requests.
+CachePlan planCache(const CachePlanInput &input)
 {
     CachePlan plan;
-    if (question.sharedTokens == 0) {
+    if (input.sharedTokens == 0) {
         return plan;
     }
-    // The store keeps the last seconds of the fleet's prompts only; an engine that was sent the prefix keeps it longer.
-    plan.fetchFrom = question.holder != nullptr ? hostAddressText(question.holder->address) : std::string(question.store);
-    if (isCold(question) && question.sharedTokens * leastSavedShare >= question.promptTokens) {
-        plan.saveTo = question.store;
+    // The cache store keeps only prompts of the last few seconds of the whole fleet; an engine that was sent the prefix keeps it longer.
+    plan.fetchFrom = input.holder != nullptr ? hostAddressText(input.holder->address) : std::string(input.store);
+    if (hasUncachedBlocks(input) && input.sharedTokens * maxPromptToSharedRatio >= input.promptTokens) {
+        plan.saveTo = input.store;
     }
     return plan;
 }
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -15,26 +15,27 @@
 namespace
 {
 
-/// A key counts as proven this much shorter than operators allow: a request that was just let through has still to reach its target.
+/// Margin by which key proofs expire before the time that operators allow, as an accepted request has yet to reach its target.
 constexpr Duration keyProofMargin = std::chrono::milliseconds(300);
 
-/// Part of the allowed retries that is used: hosts count requests and retries in windows that don't begin together.
-constexpr double retryPart = 0.8;
+/// Fraction of the allowed retries that is used, as the hosts count requests and retries in windows that are not aligned.
+constexpr double retryBudgetFraction = 0.8;
 
-/// How long requests wait for a host that has just started to read its configuration. All clients connect again at once after a restart of
-/// the whole fleet, and the store answers within 20 ms. No longer, as they could go to
-/// another host.
-constexpr Duration configurationWait = std::chrono::milliseconds(40);
+/// How long requests wait for the configuration of a host that has just started. After a restart of the whole fleet all clients reconnect
+/// at once, and the store responds within 20 ms. A longer wait would keep them from going to another host.
+constexpr Duration maxConfigurationWait = std::chrono::milliseconds(40);
 
-/// How long other hosts are asked when weights were named though this one seems to have heard at once: a cut that healed while it waited for
-/// the store leaves no trace here. Some datagrams may be lost, and others may hear a moment later.
-constexpr Duration ageQuestionTime = std::chrono::seconds(1);
+/// How long other hosts are asked when weights were named, even if this host seems to have learnt of them at once: a network partition that
+/// ended while this host waited for the store can't be detected here. Datagrams may be lost, and other hosts may learn of the weights a
+/// moment later.
+constexpr Duration weightsAgeQueryTime = std::chrono::seconds(1);
 
-/// How long a host that has just started asks others what they have in force: the others must become known, and some datagrams may be lost.
-constexpr Duration proofQuestionTime = std::chrono::seconds(1);
+/// How long a host that has just started asks the others which configuration they have in force: the others must become known first, and
+/// datagrams may be lost.
+constexpr Duration proofQueryTime = std::chrono::seconds(1);
 
-constexpr Duration tickTime = std::chrono::milliseconds(250);
-constexpr Duration drainTick = std::chrono::milliseconds(50);
+constexpr Duration tickInterval = std::chrono::milliseconds(250);
+constexpr Duration drainCheckInterval = std::chrono::milliseconds(50);
 
 } // namespace
 
@@ -53,7 +54,7 @@
     , pool_(loop_, targetProtocol)
     , fleet_(*this, options.hostName)
     , dispatch_(loop_, [this] { refreshTargets(); })
-    , waitingTimer_(loop_)
+    , configurationTimer_(loop_)
 {
     directory_.setDataCentre(options.dataCentre);
 }
@@ -107,9 +108,9 @@
     if (!isNew) {
         return;
     }
-    noteWithdrawnKeys(*table);
+    logWithdrawnKeys(*table);
     if (table_ == nullptr) {
-        proofsAskedUntil_ = BootClock::now() + proofQuestionTime;
+        queryProofsUntil_ = BootClock::now() + proofQueryTime;
     }
     table_ = std::move(table);
     std::map<std::string, double, std::less<>> cacheTokens;
@@ -127,11 +128,11 @@
               {"teams", static_cast<std::int64_t>(table_->teams.size())},
               {"keys", static_cast<std::int64_t>(table_->teamOfKey.size())}});
     if (isConfigured()) {
-        beginWaiting();
+        beginPending();
     }
 }
 
-void Gateway::noteWithdrawnKeys(const RoutingTable &next) const
+void Gateway::logWithdrawnKeys(const RoutingTable &next) const
 {
     if (table_ == nullptr) {
         return;
@@ -169,18 +170,18 @@
     hasTargets_ = true;
     dispatch_.invalidateEngines();
     if (isConfigured()) {
-        beginWaiting();
+        beginPending();
     }
 }
 
 void Gateway::setNamedWeights(const NamedWeights &weights)
 {
     const TimePoint now = BootClock::now();
-    NamedWeights heard = weights;
-    heard.silence = std::max(heard.silence, standstills_.justEnded(now) - (now - weights.learntAt));
-    writeLog(LogLevel::Info, "weights_named", {{"model", weights.model}, {"version", weights.version}, {"silence_ms", toMillis(heard.silence)}});
-    directory_.setNamedWeights(heard);
-    agesAskedUntil_ = now + ageQuestionTime;
+    NamedWeights adjusted = weights;
+    adjusted.silence = std::max(adjusted.silence, standstills_.justEnded(now) - (now - weights.learntAt));
+    writeLog(LogLevel::Info, "weights_named", {{"model", weights.model}, {"version", weights.version}, {"silence_ms", toMillis(adjusted.silence)}});
+    directory_.setNamedWeights(adjusted);
+    queryWeightsAgesUntil_ = now + weightsAgeQueryTime;
     onWeightsChanged();
 }
 
@@ -208,7 +209,7 @@
 {
     const TimePoint now = BootClock::now();
     if (standstills_.justEnded(now) != Duration::zero()) {
-        return; // It may have lain here unread, and be older than it says. The question is asked again.
+        return; // The message may have been waiting unread and the real age be higher. The other hosts are asked again.
     }
     if (directory_.learnAge({age.model, age.version, now - age.age})) {
         writeLog(LogLevel::Info, "weights_age_known", {{"model", age.model}, {"version", age.version}, {"age_ms", toMillis(age.age)}});
@@ -253,9 +254,10 @@
 {
     std::vector<TeamLimit> limits;
     for (const Team &team : table_->teams) {
-        // Half of what a limit may be passed by; the other half is for hosts that start with part of a burst or are counted late.
-        const double over = 1 + options_.limits.quotaOver / 2;
-        limits.push_back({team.name, team.rate * over, team.burst * over + options_.limits.quotaSlack / 2});
+        // Half of the tolerance by which the limit may be exceeded. The other half is for hosts that start with part of a burst or are
+        // counted late.
+        const double factor = 1 + options_.limits.quotaOver / 2;
+        limits.push_back({team.name, team.rate * factor, team.burst * factor + options_.limits.quotaSlack / 2});
     }
     fleet_.setLimits(limits);
 }
@@ -263,7 +265,8 @@
 void Gateway::applyRetryLimits()
 {
     const std::size_t count = std::max<std::size_t>(hosts_.size(), 1);
-    dispatch_.setRetryLimits({options_.limits.retries.ratio * retryPart, options_.limits.retries.minRetries * retryPart / static_cast<double>(count)});
+    dispatch_.setRetryLimits(
+        {options_.limits.retries.ratio * retryBudgetFraction, options_.limits.retries.minRetries * retryBudgetFraction / static_cast<double>(count)});
 }
 
 const std::map<std::string, HostRecord> &Gateway::hosts() const
@@ -358,12 +361,12 @@
     return table_ != nullptr && proofAge(now) < options_.limits.keyProofWindow - keyProofMargin;
 }
 
-bool Gateway::isCurrent(TimePoint now) const
+bool Gateway::isTableCurrent(TimePoint now) const
 {
     return table_ != nullptr && proofAge(now) < options_.limits.configurationWindow;
 }
 
-bool Gateway::isOutdated(TimePoint now) const
+bool Gateway::isTableOutdated(TimePoint now) const
 {
     return freshness_.isOutdated(now, options_.limits.configurationWindow);
 }
@@ -375,7 +378,7 @@
 
 std::string_view Gateway::cacheStoreFor(const Target &target) const
 {
-    std::string_view chosen;
+    std::string_view fallback;
     for (const CacheStore &store : table_->cacheStores) {
         if (!aliveCacheStores_.contains(store.address)) {
             continue;
@@ -383,9 +386,9 @@
         if (store.dataCentre == target.dataCentre) {
             return store.address;
         }
-        chosen = chosen.empty() ? std::string_view(store.address) : chosen;
+        fallback = fallback.empty() ? std::string_view(store.address) : fallback;
     }
-    return chosen;
+    return fallback;
 }
 
 void Gateway::setCacheStoreAlive(const std::string &address, bool isAlive)
@@ -415,21 +418,21 @@
 
 void Gateway::beginWhenConfigured(const std::shared_ptr<RoutedRequest> &request)
 {
-    if (waiting_.empty()) {
-        waitingTimer_.expires_after(configurationWait);
-        waitingTimer_.async_wait([this](const boost::system::error_code &error) {
+    if (pendingRequests_.empty()) {
+        configurationTimer_.expires_after(maxConfigurationWait);
+        configurationTimer_.async_wait([this](const boost::system::error_code &error) {
             if (!error) {
-                beginWaiting();
+                beginPending();
             }
         });
     }
-    waiting_.push_back(request);
+    pendingRequests_.push_back(request);
 }
 
-void Gateway::beginWaiting()
+void Gateway::beginPending()
 {
-    waitingTimer_.cancel();
-    for (const auto &request : std::exchange(waiting_, {})) {
+    configurationTimer_.cancel();
+    for (const auto &request : std::exchange(pendingRequests_, {})) {
         request->beginNow();
     }
 }
@@ -481,7 +484,7 @@
 
 void Gateway::onRequestEnded(const RoutedRequest &request, const EndedRequest &ended)
 {
-    dispatch_.forget(request.schedulerId());
+    dispatch_.release(request.schedulerId());
     observeRequest(metrics_, ended);
 }
 
@@ -511,10 +514,10 @@
     standstills_.look(now);
     pool_.closeStale(now);
     fleet_.sendHeartbeat(now);
-    if (now < proofsAskedUntil_) {
+    if (now < queryProofsUntil_) {
         fleet_.askProofs();
     }
-    if (now < agesAskedUntil_ || directory_.needsAge(now)) {
+    if (now < queryWeightsAgesUntil_ || directory_.needsAge(now)) {
         fleet_.askWeightsAges();
     }
     dispatch_.refreshEngines(now);
@@ -527,7 +530,7 @@
                   {"targets", static_cast<std::int64_t>(directory_.all().size())},
                   {"proof_age_ms", static_cast<std::int64_t>(toSeconds(proofAge(now)) * 1e3)}});
     }
-    tickTimer_.expires_after(tickTime);
+    tickTimer_.expires_after(tickInterval);
     tickTimer_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             tick();
@@ -535,8 +538,8 @@
     });
 }
 
-/// The shutdown goes in two steps: while the balancer may still send connections all is served, and answers ask callers to close;
-/// then nothing is accepted and idle connections are closed. What runs is completed in both.
+/// A graceful shutdown has two phases. While the balancer may still send connections, everything is served and responses ask callers to
+/// close their connections. Then no connections are accepted and idle ones are closed. Requests in flight are completed in both phases.
 void Gateway::continueDrain()
 {
     const TimePoint now = BootClock::now();
@@ -559,7 +562,7 @@
         loop_.stop();
         return;
     }
-    drainTimer_.expires_after(drainTick);
+    drainTimer_.expires_after(drainCheckInterval);
     drainTimer_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             continueDrain();
@@ -588,7 +591,7 @@
 
 bool Gateway::isReady(TimePoint now) const
 {
-    return !drainStartedAt_ && hasTargets_ && isKeyProofValid(now) && !isOutdated(now);
+    return !drainStartedAt_ && hasTargets_ && isKeyProofValid(now) && !isTableOutdated(now);
 }
 
 } // namespace Lovageloft
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -28,33 +28,33 @@
 class CallerSession;
 class RoutedRequest;
 
-/// Times and limits of a gateway, which may be set anew while it serves.
+/// Times and limits of a gateway, which can be changed at run time.
 struct GatewayLimits
 {
-    Duration keyProofWindow = std::chrono::seconds(5); ///< Within this time a withdrawn key must have stopped working.
-    Duration configurationWindow = std::chrono::seconds(2); ///< Within this time a new configuration must be in force.
-    Duration weightsDeadline = std::chrono::seconds(8); ///< After this time no request may begin on older weights.
+    Duration keyProofWindow = std::chrono::seconds(5); ///< Time within which a withdrawn key must stop working.
+    Duration configurationWindow = std::chrono::seconds(2); ///< Time within which a new configuration must be in force.
+    Duration weightsDeadline = std::chrono::seconds(8); ///< Time after new weights are named when no request may begin on older ones any more.
     RetryBudget::Limits retries; ///< Over all hosts.
-    double quotaOver = 0; ///< Part of a team's limit by which it may be passed.
-    double quotaSlack = 0; ///< Tokens on top of that.
-    Duration drainNotice = std::chrono::milliseconds(2'600); ///< The balancer may send new connections that long after /ready began to fail.
-    Duration drainLimit = std::chrono::seconds(7); ///< Longest time from the request to shut down to the end.
+    double quotaOver = 0; ///< Fraction of a team's limit by which the limit may be exceeded.
+    double quotaSlack = 0; ///< Tokens by which the limit may be exceeded in addition.
+    Duration drainNotice = std::chrono::milliseconds(2'600); ///< Time that the balancer may send new connections after /ready has begun to fail.
+    Duration drainLimit = std::chrono::seconds(7); ///< Maximum time from the start of a graceful shutdown to its end.
 };
 
-/// What a gateway is started with.
+/// Parameters that a gateway is started with.
 struct GatewayOptions
 {
     HostAddress callers;
     HostAddress readiness;
-    HostAddress peers; ///< Where datagrams of other hosts come.
-    std::optional<HostAddress> metrics; ///< Where metrics and operators' calls are answered.
+    HostAddress peers; ///< Address for datagrams from other hosts.
+    std::optional<HostAddress> metrics; ///< Address of the metrics and the operators' interface.
     std::string hostName;
     std::string dataCentre;
     GatewayLimits limits;
 };
 
-/// The event-driven pipeline: one thread and one event loop own all sockets of callers and targets, the scheduler, and what this
-/// host believes. Other duties hand over what they learn with `post`.
+/// The event-driven request pipeline. One thread with one event loop owns all sockets to callers and targets, the scheduler and this
+/// host's view of the fleet. Duties on other threads pass what they learn with `post`.
 class Gateway
 {
 public:
@@ -63,30 +63,30 @@
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
-    /// Opens the ports; false if one is taken.
+    /// Opens the ports; false with a reason if one is in use.
     bool open(Reason &reason);
 
-    /// The callers' port as bound, for options that take any free one.
+    /// Port bound for callers, for options that ask for any free port.
     std::uint16_t callerPort() const;
 
-    /// The port for metrics and operators' calls as bound.
+    /// Port bound for metrics and the operators' interface.
     std::uint16_t metricsPort() const;
 
-    /// Serves until a shutdown has ended.
+    /// Serves until a graceful shutdown has ended.
     void run();
 
     /// Runs `task` on the event loop. The only member that other threads may call.
     void post(std::function<void(Gateway &)> task);
 
-    // What follows is for the event loop only: beliefs first.
+    // All members below are for the event loop only. First, updates of this host's view of the fleet.
 
-    /// A new configuration, which was the newest at `provenAt`. Versions never go back.
+    /// Puts a configuration in force, which was the newest one at `provenAt`. A lower version than the current one is ignored.
     void setTable(std::shared_ptr<const RoutingTable> table, TimePoint provenAt);
 
-    /// The configuration with this revision was the newest at `provenAt`.
+    /// The configuration with this revision was still the newest one at `provenAt`.
     void confirmTable(std::int64_t revision, TimePoint provenAt);
 
-    /// The configuration with this revision exists and may not have been read yet.
+    /// A configuration with this revision exists and may not have been read yet.
     void noteNewerTable(std::int64_t revision);
 
     /// Another host has this configuration in force; see TableFreshness::noteElsewhere.
@@ -95,29 +95,30 @@
     void setTargets(std::shared_ptr<const TargetMap> targets);
     void setNamedWeights(const NamedWeights &weights);
 
-    /// Hears of the newest weights of each model whenever this host learns of some, or of when they were named. To be called before `run`.
+    /// Called with the newest weights of each model whenever this host learns of new weights or of when weights were named. Set it before
+    /// `run`.
     using WeightsListener = std::function<void(const std::vector<NamedWeights> &)>;
     void setWeightsListener(WeightsListener listener);
 
-    /// The weights that the store still kept as young when this host started.
+    /// Sets the weights that the store still listed as recently named when this host started.
     void setYoungWeights(const std::set<std::string> &names);
 
-    /// Another host knows how long ago weights were named.
+    /// Another host reported how long ago weights were named.
     void learnWeightsAge(const WeightsAge &age);
 
-    /// The hosts that count, with this one, where they take datagrams, and this host's part of what is divided evenly.
+    /// Sets the active hosts including this one, with their addresses for datagrams, and this host's share of what is divided evenly.
     void setHosts(const std::map<std::string, HostRecord> &hosts, double share);
 
-    /// The host that orders the engines; empty if there is none.
+    /// Sets the host that orders engines to load weights; empty if there is none.
     void setLeader(const std::string &host);
 
-    /// Times and limits that were set anew.
+    /// Applies changed times and limits.
     void setLimits(const GatewayLimits &limits);
 
-    /// The time since a standstill of this process began that ends now or ended a moment ago; else zero.
+    /// Time since the start of a pause of this process that is ending now or ended a moment ago; zero if there was none.
     Duration recentPause(TimePoint now) const;
 
-    /// Begins a graceful shutdown.
+    /// Starts a graceful shutdown.
     void drain();
 
     // For operators.
@@ -159,43 +160,45 @@
     CallerLimits callerLimits() const;
     bool isDraining() const;
 
-    /// Whether no key that was withdrawn more than the allowed time ago can still be in the configuration.
+    /// Whether the configuration is proven recent enough that no key in it was withdrawn more than `keyProofWindow` ago.
     bool isKeyProofValid(TimePoint now) const;
 
-    /// Whether the configuration can be relied on to name everything that was added more than the allowed time ago.
-    bool isCurrent(TimePoint now) const;
+    /// Whether the configuration is proven recent enough to contain everything added more than `configurationWindow` ago.
+    bool isTableCurrent(TimePoint now) const;
 
-    /// Whether a newer configuration is known to exist and has been in force for so long that the older one must not be used any more.
-    bool isOutdated(TimePoint now) const;
+    /// Whether the configuration must not be used any more, as a newer one is known to exist and has been in force for too long.
+    bool isTableOutdated(TimePoint now) const;
 
+    /// Time since the configuration in force was last known to be the newest one.
     Duration proofAge(TimePoint now) const;
 
-    /// The address of the cache store that an engine should use; empty if there is none that answers. Fetching 13,000 tokens takes an
-    /// engine about half the time of computing them, and after new weights each prefix is computed once instead of once an engine.
+    /// Address of the cache store that an engine should use; empty if none responds. Fetching 13,000 tokens takes an engine about half the
+    /// time of computing them, and after a change of weights each prefix is computed once instead of once per engine.
     std::string_view cacheStoreFor(const Target &target) const;
 
-    /// A cache store answers, or has stopped to: a dead one would cost each request some hundred milliseconds.
+    /// A cache store has begun or stopped to respond. An unreachable store would delay each request by some hundred milliseconds.
     void setCacheStoreAlive(const std::string &address, bool isAlive);
 
     std::shared_ptr<RoutedRequest> createRequest(const std::shared_ptr<CallerSession> &session, HttpHead &&head, std::string &&body);
-    /// Whether configuration and targets are known.
+
+    /// Whether the configuration and the targets are known.
     bool isConfigured() const;
 
-    /// Begins a request once they are, or after a moment in any case.
+    /// Begins a request as soon as this host is configured, or after a short timeout in any case.
     void beginWhenConfigured(const std::shared_ptr<RoutedRequest> &request);
 
-    /// A target is about to load and declines requests meanwhile.
+    /// Sends no requests to a target for some time, as it is about to load weights and declines requests meanwhile.
     void avoidTarget(std::string_view targetId, Duration time);
 
     void onTargetLoad(std::string_view engineName, const TargetLoad &load);
 
-    /// The directory has changed.
+    /// Passes the engines in service to the scheduler, after a change of the target directory.
     void refreshTargets();
 
-    /// Writes a refusal or failure to a caller, who may be gone; returns the status.
+    /// Sends a refusal or error response to a caller and returns its HTTP status. `session` is null if the caller has disconnected.
     int refuse(CallerSession *session, const Reason &reason, RunState runState, Duration retryAfter);
 
-    /// The same for a message that could not be read.
+    /// Refuses a message that can't be parsed.
     void refuseMalformed(CallerSession &session, const Reason &reason);
 
     void onRequestEnded(const RoutedRequest &request, const EndedRequest &ended);
@@ -208,10 +211,10 @@
     void continueDrain();
     StatusAnswer readinessAnswer(std::string_view path);
     StatusAnswer metricsAnswer(std::string_view path);
-    void noteWithdrawnKeys(const RoutingTable &next) const;
+    void logWithdrawnKeys(const RoutingTable &next) const;
     void applyTeamLimits();
     void applyRetryLimits();
-    void beginWaiting();
+    void beginPending();
 
     GatewayOptions options_;
     const CallerProtocol &callerProtocol_;
@@ -220,28 +223,28 @@
     boost::asio::io_context loop_{1};
     boost::asio::ip::tcp::acceptor acceptor_;
     boost::asio::steady_timer tickTimer_;
-    boost::asio::steady_timer drainTimer_; ///< Its own: a tick that is due already would take a shared one over.
+    boost::asio::steady_timer drainTimer_; ///< Separate from tickTimer_, which a tick that is already due would set again.
     StatusServer readiness_;
     StatusServer metricsServer_;
     OperatorView operatorView_;
     std::shared_ptr<const RoutingTable> table_;
     TableFreshness freshness_; ///< Of `table_`.
-    TimePoint proofsAskedUntil_;
+    TimePoint queryProofsUntil_;
     TargetDirectory directory_;
     WeightsListener weightsListener_;
     TargetPool pool_;
     FleetLink fleet_;
     RequestDispatch dispatch_;
-    std::vector<std::shared_ptr<RoutedRequest>> waiting_; ///< For the first configuration.
-    boost::asio::steady_timer waitingTimer_;
+    std::vector<std::shared_ptr<RoutedRequest>> pendingRequests_; ///< Requests that wait for the first configuration.
+    boost::asio::steady_timer configurationTimer_;
     std::set<std::shared_ptr<CallerSession>> sessions_;
     std::set<std::string, std::less<>> aliveCacheStores_;
-    std::map<std::string, HostRecord> hosts_; ///< All that count, with this one.
-    double share_ = 0; ///< This host's part of what is divided evenly.
+    std::map<std::string, HostRecord> hosts_; ///< All active hosts including this one.
+    double share_ = 0; ///< This host's share of what is divided evenly.
     std::string leader_;
     bool hasTargets_ = false;
     Standstills standstills_;
-    TimePoint agesAskedUntil_;
+    TimePoint queryWeightsAgesUntil_;
     bool isAccepting_ = false;
     std::optional<TimePoint> drainStartedAt_;
     bool wasReady_ = false;
--- a/gateway/request_dispatch.cpp
+++ b/gateway/request_dispatch.cpp
@@ -15,23 +15,23 @@
 namespace
 {
 
-/// The scheduler's view of caches: 18 engines of 150,000 tokens hold 10,500 blocks, 90 of 290,000 hold 100,000, of which the least
-/// recently used are left out; 22 bytes each.
+/// Capacity of the scheduler's view of the engines' caches, at 22 bytes a block. 18 engines of 150,000 tokens hold 10,500 blocks; 90 of
+/// 290,000 tokens hold 100,000, of which the least recently used ones are evicted from the view.
 constexpr std::size_t cacheViewBlocks = 65'536;
 
-/// Long enough for the work of a route's whole timeout, which bounds the wait by itself.
-constexpr Duration longestQueueWait = std::chrono::seconds(60);
+/// Long enough not to cut a route's timeout short, which limits the wait of its requests already.
+constexpr Duration maxQueueWait = std::chrono::seconds(60);
 
-/// For a model of eight billion parameters: two operations a parameter and token, against four a token of context in each of 32 layers
-/// of width 4,096.
+/// Prompt length at which attention costs as much as the rest of the model, for eight billion parameters: two operations per parameter
+/// and token, against four per token of context and unit of width in each of 32 layers of width 4,096.
 constexpr double attentionParityTokens = 30'000;
 
-/// Engines drawn at random for each request. While more than half of the engines compute long prompts, two draws find only such ones
-/// for three in ten short requests; six for one in thirty.
+/// Engines drawn at random as candidates for each request. While more than half of the engines compute long prompts, two draws find only
+/// such engines for three in ten short requests, six draws for one in thirty.
 constexpr std::size_t randomCandidates = 6;
 
-/// Seconds of wait that 1,000 bytes to another data centre are worth. Enough to decide between engines that are both idle: short work
-/// then stays in its data centre, which saves an eighth of the bytes between data centres; nobody waits longer for it.
+/// Seconds of waiting time that 1,000 bytes of traffic to another data centre count as. Enough to decide between two idle engines: short
+/// requests then stay in their data centre, which saves an eighth of the traffic between data centres without longer waits.
 constexpr double remoteWaitPerKilobyte = 0.002;
 
 PlacementPolicy placementPolicy()
@@ -48,10 +48,10 @@
 
 QueueLimits queueLimits()
 {
-    constexpr std::size_t mostWaiting = 4'000; // One megabyte; a host of this size serves some hundred requests a second.
+    constexpr std::size_t maxQueuedRequests = 4'000; // 1 MB of memory; a host serves some hundred requests a second.
     QueueLimits limits;
-    limits.maxWait = longestQueueWait;
-    limits.maxRequests = mostWaiting;
+    limits.maxWait = maxQueueWait;
+    limits.maxRequests = maxQueuedRequests;
     return limits;
 }
 
@@ -66,16 +66,16 @@
 {
 }
 
-void RequestDispatch::setEngines(std::vector<SchedulerEngine> &&engines, std::optional<TimePoint> endsAt)
+void RequestDispatch::setEngines(std::vector<SchedulerEngine> &&engines, std::optional<TimePoint> expiresAt)
 {
     scheduler_.setEngines(std::move(engines));
-    enginesEnd_ = endsAt;
+    enginesExpireAt_ = expiresAt;
     scheduleDecide();
 }
 
 void RequestDispatch::invalidateEngines()
 {
-    enginesEnd_ = std::min(enginesEnd_.value_or(TimePoint::max()), BootClock::now());
+    enginesExpireAt_ = std::min(enginesExpireAt_.value_or(TimePoint::max()), BootClock::now());
     if (scheduler_.waiting() > 0) {
         scheduleDecide();
     }
@@ -83,14 +83,14 @@
 
 void RequestDispatch::refreshEngines(TimePoint now)
 {
-    if (enginesEnd_ && now >= *enginesEnd_) {
+    if (enginesExpireAt_ && now >= *enginesExpireAt_) {
         refreshEngines_();
     }
 }
 
 Duration RequestDispatch::engineListOverdue(TimePoint now) const
 {
-    return enginesEnd_ ? std::max(now - *enginesEnd_, Duration::zero()) : Duration::zero();
+    return enginesExpireAt_ ? std::max(now - *enginesExpireAt_, Duration::zero()) : Duration::zero();
 }
 
 void RequestDispatch::setHostCount(std::size_t count)
@@ -105,7 +105,7 @@
 
 RequestId RequestDispatch::submit(const std::shared_ptr<RoutedRequest> &request, SchedulerRequest &&scheduled)
 {
-    const RequestId id{++lastRequest_};
+    const RequestId id{++lastRequestId_};
     scheduled.id = id;
     requests_.emplace(id, request);
     if (const auto refusal = scheduler_.submit(std::move(scheduled), BootClock::now())) {
@@ -138,14 +138,14 @@
     scheduler_.onStalled(id, BootClock::now());
 }
 
-void RequestDispatch::onEnded(RequestId id, DispatchResult end)
+void RequestDispatch::onEnded(RequestId id, DispatchResult result)
 {
-    scheduler_.onEnded(id, end, BootClock::now());
+    scheduler_.onEnded(id, result, BootClock::now());
     requests_.erase(id);
     scheduleDecide();
 }
 
-void RequestDispatch::forget(RequestId id)
+void RequestDispatch::release(RequestId id)
 {
     requests_.erase(id);
 }
@@ -158,8 +158,8 @@
 void RequestDispatch::onTargetLoad(std::string_view engineName, const Target &target, const TargetLoad &load)
 {
     if (!target.models.empty()) {
-        // An engine counts a prompt that it is computing as running, so its counts would hide the long ones that are known from
-        // the notices.
+        // An engine counts a prompt that it is computing as running, so its counts would hide the long prompts that are known from the
+        // dispatch notices.
         return;
     }
     LoadReport report;
@@ -196,12 +196,12 @@
 
 void RequestDispatch::decide()
 {
-    // A host that has stood still decides before its timers have run. Requests would go to engines whose time ended meanwhile, such as
-    // those with older weights, for which callers get answers that no longer count.
+    // After a pause of the process, decisions come before the timers have run. Without a refresh here requests would go to engines that have
+    // gone out of service meanwhile, such as those with older weights, and callers would get responses from weights that are no longer valid.
     refreshEngines(BootClock::now());
     isDecideScheduled_ = false;
     for (const SchedulerOutcome &outcome : scheduler_.decide(BootClock::now(), random_)) {
-        const RequestId id = std::visit([](const auto &known) { return known.id; }, outcome);
+        const RequestId id = std::visit([](const auto &alternative) { return alternative.id; }, outcome);
         const auto found = requests_.find(id);
         if (found == requests_.end()) {
             scheduler_.onEnded(id, DispatchResult::Cancelled, BootClock::now());
@@ -216,8 +216,8 @@
         }
     }
     if (const auto next = scheduler_.nextDeadline()) {
-        constexpr Duration shortest = std::chrono::milliseconds(5);
-        timer_.expires_after(std::max(*next - BootClock::now(), shortest));
+        constexpr Duration minTimerDelay = std::chrono::milliseconds(5);
+        timer_.expires_after(std::max(*next - BootClock::now(), minTimerDelay));
         timer_.async_wait([this](const boost::system::error_code &error) {
             if (!error) {
                 scheduleDecide();
--- a/gateway/request_dispatch.h
+++ b/gateway/request_dispatch.h
@@ -20,61 +20,61 @@
 class RoutedRequest;
 struct DispatchNotice;
 
-/// What a call to a plain service counts as in the scheduler's units.
+/// Work of one call to a service, in the scheduler's unit: prompt tokens.
 inline constexpr std::uint32_t serviceCallWorkTokens = 100;
 
-/// Joins the scheduler, which knows ids only, to the requests that it decides about: those that wait for a target and those at one.
-/// For the event loop only.
+/// Connects the scheduler, which works with ids only, to the requests that are queued or in flight. Used from the event loop only.
 class RequestDispatch
 {
 public:
-    /// `refreshEngines` is called when the targets given last don't hold any more, and is to set new ones.
+    /// `refreshEngines` is called when the list of engines is out of date; it must call `setEngines` with a new one.
     RequestDispatch(boost::asio::io_context &loop, std::function<void()> refreshEngines);
 
-    /// The targets in service, whenever the directory has changed; they hold until `endsAt` at most.
-    void setEngines(std::vector<SchedulerEngine> &&engines, std::optional<TimePoint> endsAt);
+    /// Sets the engines in service; `expiresAt` is when the list goes out of date by itself, nothing if it doesn't. To be called whenever
+    /// the target directory has changed.
+    void setEngines(std::vector<SchedulerEngine> &&engines, std::optional<TimePoint> expiresAt);
 
-    /// The directory has changed: the targets are renewed before the next decision, at once if a request waits for one. Each change of a
-    /// hundred engines that load new weights at the same time would else make the whole list anew.
+    /// Marks the list of engines as out of date after a change of the directory. The list is rebuilt before the next decision, at once if a
+    /// request is queued. Rebuilding it at each change is too expensive while a hundred engines load new weights at the same time.
     void invalidateEngines();
 
-    /// Renews the targets if they don't hold any more.
+    /// Rebuilds the list of engines if it is out of date.
     void refreshEngines(TimePoint now);
 
-    /// For how long they have not held.
+    /// For how long the list of engines has been out of date; zero if it is not.
     Duration engineListOverdue(TimePoint now) const;
 
     void setHostCount(std::size_t count);
     void setRetryLimits(const RetryBudget::Limits &limits);
 
-    /// Queues a request, which hears of the decision by `onAssigned` or `onRefused`, never during this call.
+    /// Queues a request. The decision is reported to its `onAssigned` or `onRefused`, never during this call.
     RequestId submit(const std::shared_ptr<RoutedRequest> &request, SchedulerRequest &&scheduled);
 
     void cancelQueued(RequestId id);
     void onFirstToken(RequestId id);
 
-    /// Whether a request that is at a target could be sent to another one now.
+    /// Whether a request in flight could be sent to another target now.
     bool canRetryElsewhere(RequestId id);
 
-    /// A target has been silent for too long about a request that stays there.
+    /// A target has not responded for too long to a request that stays in flight there.
     void onStalled(RequestId id);
 
-    /// A target is done with a request, well or not.
-    void onEnded(RequestId id, DispatchResult end);
+    /// A request is no longer in flight at its target, whatever the result.
+    void onEnded(RequestId id, DispatchResult result);
 
-    /// The request has its outcome.
-    void forget(RequestId id);
+    /// Releases a request that has its final outcome.
+    void release(RequestId id);
 
     /// Another host sent a long prompt to an engine.
     void onDispatchedByPeer(const DispatchNotice &notice);
 
-    /// What a target said of its load.
+    /// A target reported its load.
     void onTargetLoad(std::string_view engineName, const Target &target, const TargetLoad &load);
 
     std::size_t waitingCount() const;
     std::size_t runningCount() const;
 
-    /// Requests that wait or run.
+    /// Requests that are queued or in flight.
     std::size_t count() const;
 
 private:
@@ -86,9 +86,9 @@
     RequestScheduler scheduler_;
     Random random_;
     std::unordered_map<RequestId, std::shared_ptr<RoutedRequest>> requests_;
-    std::uint64_t lastRequest_ = 0;
+    std::uint64_t lastRequestId_ = 0;
     std::function<void()> refreshEngines_;
-    std::optional<TimePoint> enginesEnd_;
+    std::optional<TimePoint> enginesExpireAt_;
     bool isDecideScheduled_ = false;
 };
 
--- a/gateway/request_intake.cpp
+++ b/gateway/request_intake.cpp
@@ -34,7 +34,7 @@
     return std::all_of(filters().begin(), filters().end(), [&](Filter filter) { return (this->*filter)(reason); });
 }
 
-bool RequestIntake::checkAgain(Reason &reason)
+bool RequestIntake::recheck(Reason &reason)
 {
     const auto newest = gateway_.table();
     if (newest == table_ && (team_ == nullptr || gateway_.isKeyProofValid(BootClock::now()))) {
@@ -166,7 +166,7 @@
         reason = {ResultCode::NotFresh, "no configuration has been read yet"};
         return false;
     }
-    if (gateway_.isOutdated(BootClock::now())) {
+    if (gateway_.isTableOutdated(BootClock::now())) {
         reason = {ResultCode::NotFresh, "a newer configuration is in force and has not been read yet"};
         return false;
     }
@@ -181,8 +181,8 @@
         return true;
     }
     reason = {ResultCode::UnknownPath, "no route has this host and path"};
-    if (!gateway_.isCurrent(BootClock::now())) {
-        // The route may be newer than what this host knows, and a caller does not try again after "not found".
+    if (!gateway_.isTableCurrent(BootClock::now())) {
+        // The route may be newer than this host's configuration, and callers don't retry after "not found".
         reason = {ResultCode::NotFresh, "the configuration is too old to say that there is no such route"};
     }
     return false;
@@ -204,7 +204,7 @@
         return true;
     }
     reason = {caller_.key.empty() ? ResultCode::MissingKey : ResultCode::UnknownKey, "no team has this key"};
-    if (!gateway_.isCurrent(BootClock::now())) {
+    if (!gateway_.isTableCurrent(BootClock::now())) {
         reason = {ResultCode::NotFresh, "the configuration is too old to say that the key is unknown"};
     }
     return false;
--- a/gateway/request_intake.h
+++ b/gateway/request_intake.h
@@ -15,51 +15,53 @@
 
 class Gateway;
 
-/// What a request is: read from its head, found in the configuration, and proven to be allowed. The filters run in the order of
-/// `filters()`; the first that refuses ends the request.
+/// Parses the head of a request, finds its route in the configuration and authenticates its caller. The filters run in the order of
+/// `filters()`; the first one that refuses ends the request.
 class RequestIntake
 {
 public:
     /// Both must outlive the intake.
     RequestIntake(const Gateway &gateway, const HttpHead &head);
 
+    /// Runs all filters; false with a reason if one refuses the request.
     bool run(Reason &reason);
 
-    /// The configuration may have changed while the request waited: a withdrawn key or a moved route must not be used.
-    bool checkAgain(Reason &reason);
+    /// Checks the request against the newest configuration, which may have changed while the request was queued: a withdrawn key or a moved
+    /// route must not be used. False with a reason if the request must not be sent.
+    bool recheck(Reason &reason);
 
     const CallerRequest &caller() const;
 
-    /// Version of the configuration that it was last checked with; 0 before the first.
+    /// Version of the configuration used by the last check; 0 before the first check.
     std::int64_t configurationVersion() const;
 
-    /// Null until the route was found.
+    /// Null until the route is found.
     const Route *route() const;
     bool isStream() const;
     const std::string &service() const;
 
-    /// Empty on public routes and until the key was found.
+    /// Empty on public routes and until the key is found.
     const std::string &teamName() const;
 
-    /// The team's where it has one, otherwise the route's; 0 is the most urgent.
+    /// Priority of the team if it has one, otherwise of the route; 0 is the most urgent.
     int priority() const;
 
-    /// The team's name if it is isolated: only prompts under the same text share cache entries.
+    /// The team's name if the team is isolated, otherwise empty. Only prompts with the same scope share cache entries.
     std::string cacheScope() const;
 
-    /// The same for each try of the same caller with the same body. To be called once the request was let in.
+    /// Digest that is the same for each attempt of the same caller with the same body. Call it after `run` has succeeded.
     RequestFingerprint fingerprint(std::string_view body) const;
 
-    /// Tokens that the team is charged.
+    /// Tokens that the team is charged for the request.
     double chargedTokens() const;
 
-    /// Tokens of the parts that other requests may have in common with this one: all but the last.
+    /// Tokens of `sharedParts`.
     std::uint32_t sharedTokens() const;
 
-    /// The parts that other requests may share: all but the last.
+    /// The parts of the prompt that other requests may have in common with this one: all but the last.
     std::span<const PromptPart> sharedParts() const;
 
-    /// Fills in what does not change from one target to the next.
+    /// A scheduler request with the fields that are the same for each target.
     SchedulerRequest schedulerRequest() const;
 
 private:
@@ -75,9 +77,9 @@
     const HttpHead &head_;
     CallerRequest caller_;
     std::shared_ptr<const RoutingTable> table_;
-    const Route *route_ = nullptr; ///< In `table_`, as is the team.
+    const Route *route_ = nullptr; ///< Points into `table_`, like `team_`.
     const Team *team_ = nullptr;
-    std::string teamName_; ///< Outlives the table in which the team was found.
+    std::string teamName_; ///< A copy, as the table in which the team was found may be replaced.
     std::string service_;
 };
 
--- a/gateway/request_log.cpp
+++ b/gateway/request_log.cpp
@@ -18,9 +18,9 @@
              {{"request", intake_.caller().id},
               {"target", sent.target},
               {"service", intake_.service()},
-              {"send", std::int64_t{sent.send}},
+              {"send", std::int64_t{sent.sendNumber}},
               {"waited_ms", toMillis(sent.waited)},
-              {"weights", sent.weights},
+              {"weights", sent.weightsVersion},
               {"cached", std::int64_t{sent.cachedTokens}},
               {"shared", std::int64_t{intake_.sharedTokens()}},
               {"fetch", sent.fetchFrom},
@@ -47,16 +47,16 @@
               {"relayed", wasRelayed}});
 }
 
-void RequestLog::stalled(std::string_view target, Duration silent) const
+void RequestLog::stalled(std::string_view target, Duration silence) const
 {
-    writeLog(LogLevel::Info, "target_stalled", {{"request", intake_.caller().id}, {"target", target}, {"silent_ms", toMillis(silent)}});
+    writeLog(LogLevel::Info, "target_stalled", {{"request", intake_.caller().id}, {"target", target}, {"silent_ms", toMillis(silence)}});
 }
 
-void RequestLog::failed(std::string_view target, int status, bool isTriedElsewhere) const
+void RequestLog::failed(std::string_view target, int status, bool isRetriedElsewhere) const
 {
     writeLog(LogLevel::Info,
              "target_failed",
-             {{"request", intake_.caller().id}, {"target", target}, {"status", std::int64_t{status}}, {"tried_elsewhere", isTriedElsewhere}});
+             {{"request", intake_.caller().id}, {"target", target}, {"status", std::int64_t{status}}, {"tried_elsewhere", isRetriedElsewhere}});
 }
 
 void RequestLog::tokensDenied(double tokens, const TokenDecision &decision) const
@@ -67,7 +67,7 @@
               {"team", intake_.teamName()},
               {"tokens", tokens},
               {"homes_asked", static_cast<std::int64_t>(decision.homesAsked)},
-              {"homes_silent", static_cast<std::int64_t>(decision.homesSilent)},
+              {"homes_silent", static_cast<std::int64_t>(decision.homesTimedOut)},
               {"retry_after_ms", toMillis(decision.retryAfter)}});
 }
 
@@ -87,7 +87,7 @@
               {"key", isKeyAtFault ? fingerprint(intake_.caller().key) : std::string()}});
 }
 
-void RequestLog::brokenOff(std::string_view target, std::string_view why) const
+void RequestLog::aborted(std::string_view target, std::string_view why) const
 {
     writeLog(LogLevel::Warning, "answer_broken_off", {{"request", intake_.caller().id}, {"target", target}, {"why", why}});
 }
@@ -102,8 +102,8 @@
               {"status", std::int64_t{ended.status}},
               {"target", ended.target},
               {"sends", std::int64_t{ended.sends}},
-              {"first_ms", ended.firstByte ? toMillis(*ended.firstByte) : -1},
-              {"ms", toMillis(ended.time)},
+              {"first_ms", ended.timeToFirstByte ? toMillis(*ended.timeToFirstByte) : -1},
+              {"ms", toMillis(ended.duration)},
               {"bytes", static_cast<std::int64_t>(ended.bytes)}});
 }
 
--- a/gateway/request_metrics.cpp
+++ b/gateway/request_metrics.cpp
@@ -25,12 +25,12 @@
     if (request.sends > 0) {
         metrics.add("lovageloft_sends_total", {{"kind", kind}, {"service", request.service}}, static_cast<std::uint64_t>(request.sends));
     }
-    metrics.observe("lovageloft_request_seconds", {{"kind", kind}, {"service", request.service}}, toSeconds(request.time));
-    if (request.queued) {
-        metrics.observe("lovageloft_queue_seconds", {{"kind", kind}, {"service", request.service}}, toSeconds(*request.queued));
+    metrics.observe("lovageloft_request_seconds", {{"kind", kind}, {"service", request.service}}, toSeconds(request.duration));
+    if (request.queueTime) {
+        metrics.observe("lovageloft_queue_seconds", {{"kind", kind}, {"service", request.service}}, toSeconds(*request.queueTime));
     }
-    if (request.firstByte) {
-        metrics.observe("lovageloft_first_byte_seconds", {{"kind", kind}, {"service", request.service}}, toSeconds(*request.firstByte));
+    if (request.timeToFirstByte) {
+        metrics.observe("lovageloft_first_byte_seconds", {{"kind", kind}, {"service", request.service}}, toSeconds(*request.timeToFirstByte));
     }
 }
 
--- a/gateway/request_metrics.h
+++ b/gateway/request_metrics.h
@@ -10,22 +10,22 @@
 namespace Lovageloft
 {
 
-/// How a request ended, for its last log line and its figures.
+/// Result of a request, for its last log line and the metrics.
 struct EndedRequest
 {
-    std::optional<RouteKind> kind; ///< Nothing if no route was found.
-    std::string_view service; ///< Of the targets that it was meant for; empty if it was refused before.
-    std::string_view outcome; ///< As in the log: "answered", a result code's name, or how it broke off.
-    int status = 0; ///< Of the answer; 0 without one.
-    int sends = 0; ///< Targets that it was sent to.
-    Duration time{}; ///< From reading it to its end.
-    std::optional<Duration> queued; ///< From reading it to its first target.
-    std::optional<Duration> firstByte; ///< From reading it to the first byte of its answer.
-    std::string_view target; ///< The last one; empty if there was none.
-    std::size_t bytes = 0; ///< Of the answer's body.
+    std::optional<RouteKind> kind; ///< Not set if no route was found.
+    std::string_view service; ///< Service that the request was routed to; empty if it was refused before.
+    std::string_view outcome; ///< As in the log: "answered", a result code's name, or how the request was aborted.
+    int status = 0; ///< HTTP status of the response; 0 without one.
+    int sends = 0; ///< Targets that received the request.
+    Duration duration{}; ///< From reading the request to its end.
+    std::optional<Duration> queueTime; ///< From reading the request to sending it to the first target.
+    std::optional<Duration> timeToFirstByte; ///< From reading the request to the first byte of the response.
+    std::string_view target; ///< Id of the last target; empty if there was none.
+    std::size_t bytes = 0; ///< Bytes of the response body.
 };
 
-/// Counts a request and adds its times to the histograms, told apart by route kind, service and outcome.
+/// Counts a request and adds its times to the histograms. The labels are route kind and service, for the count also outcome and status.
 void observeRequest(Metrics &metrics, const EndedRequest &request);
 
 } // namespace Lovageloft
--- a/gateway/routed_request.cpp
+++ b/gateway/routed_request.cpp
@@ -14,37 +14,39 @@
 namespace
 {
 
-/// Answers up to this size are kept until they are whole, so that a target that breaks off can be replaced unseen.
-constexpr std::size_t heldAnswerLimit = 262'144;
+/// Responses up to this size are buffered until they are complete, so that a request whose target is lost can be retried without the
+/// caller noticing.
+constexpr std::size_t maxBufferedAnswerBytes = 262'144;
 
-/// Bytes that a slow caller may leave untaken before the target is no longer read.
-constexpr std::size_t callerBacklogLimit = 262'144;
+/// Unsent bytes for a slow caller above which reading from the target pauses.
+constexpr std::size_t maxCallerBacklogBytes = 262'144;
 
-/// Targets that one request is offered to at most, however many of them decline without running it.
-constexpr int mostSends = 4;
+/// Limit on the targets that one request is sent to, including those that decline it without running it.
+constexpr int maxSends = 4;
 
-/// Silence after which work that may be repeated is tried elsewhere, in latency targets: such an answer is late already, and with
-/// one more latency target it still comes while callers wait.
-constexpr double stallInLatencyTargets = 1.5;
-constexpr Duration shortestStall = std::chrono::milliseconds(400);
+/// Time without a response after which an idempotent request is retried on another target, as a multiple of the route's latency target.
+/// The response is late by then, and a retry that takes one more latency target still ends before callers give up.
+constexpr double stallTimeoutFactor = 1.5;
+constexpr Duration minStallTimeout = std::chrono::milliseconds(400);
 
-/// Between looks whether another target can take work whose target is silent.
-constexpr Duration stallLook = std::chrono::milliseconds(100);
+/// Interval between checks whether another target can take a stalled request.
+constexpr Duration stallCheckInterval = std::chrono::milliseconds(100);
 
-/// Less time than that is not worth another target: the answer would come after the caller has left.
-constexpr Duration leastTimeForTry = std::chrono::milliseconds(60);
+/// Time left to the deadline below which no target is tried: the response would come after the caller has given up.
+constexpr Duration minTimeForAttempt = std::chrono::milliseconds(60);
 
-/// When to come back after a refusal for which nothing else is known: most causes pass or move to another host within that.
-constexpr Duration usualRetryAfter = std::chrono::milliseconds(300);
+/// Retry-After of refusals without a more specific time: most causes are gone, or the load has moved to another host, by then.
+constexpr Duration defaultRetryAfter = std::chrono::milliseconds(300);
 
-/// When to come back with a request in quarantine: it will not be sent to a target for minutes.
+/// Retry-After of a quarantined request, which is not sent to any target for minutes.
 constexpr Duration quarantineRetryAfter = std::chrono::seconds(30);
 
-/// How long a call that must run once is left to a target after its caller has its answer or is gone. Targets stop at the
-/// deadline that came with the request; beyond this one is stuck, and its connection is worth more.
-constexpr Duration orphanLimit = std::chrono::seconds(10);
+/// How long a non-idempotent call may still run at a target after its caller got a final response or disconnected. Targets stop at the
+/// deadline sent with the request; one that takes longer is stuck, and its connection is closed to free it.
+constexpr Duration orphanTimeout = std::chrono::seconds(10);
 
-/// Bytes of the heads of a request and its answer, and of an event that carries one token; for what crosses between data centres.
+/// Bytes of the heads of a request and its response together, and of an event that carries one token, for estimating the traffic
+/// between data centres.
 constexpr std::size_t headBytes = 1'000;
 constexpr std::size_t bytesPerToken = 55;
 
@@ -78,7 +80,7 @@
 {
     const auto self = shared_from_this();
     if (phase_ == Phase::Done) {
-        return; // The caller left while it waited.
+        return; // The caller disconnected during the wait.
     }
     Reason reason;
     if (!intake_.run(reason)) {
@@ -90,9 +92,9 @@
         failQuarantined();
         return;
     }
-    limit_ = startedAt_ + intake_.route()->timeout;
+    deadline_ = startedAt_ + intake_.route()->timeout;
     if (intake_.caller().patience) {
-        limit_ = std::min(limit_, startedAt_ + *intake_.caller().patience);
+        deadline_ = std::min(deadline_, startedAt_ + *intake_.caller().patience);
     }
     charge();
 }
@@ -110,7 +112,7 @@
             self->fail({ResultCode::OverRate, "team is over its rate"}, decision.retryAfter);
             return;
         }
-        self->charged_ = tokens;
+        self->chargedTokens_ = tokens;
         if (self->phase_ == Phase::Done) {
             self->gateway_.fleet().giveBackTokens(self->intake_.teamName(), tokens);
             return;
@@ -135,7 +137,7 @@
 {
     SchedulerRequest request = intake_.schedulerRequest();
     request.bytes = headBytes + body_.size() + request.outputTokens * bytesPerToken;
-    request.deadline = limit_ - leastTimeForTry;
+    request.deadline = deadline_ - minTimeForAttempt;
     request.failedEngines = failedTargets_;
     request.isResume = isAnswerStarted_;
     request.reachedTarget = sends_ > 0;
@@ -147,10 +149,10 @@
     const auto self = shared_from_this();
     targetId_ = assignment.engine;
     expectedCached_ = assignment.expectedCachedTokens;
-    comesLate_ = BootClock::now() + fromSeconds(assignment.expectedFirstTokenSeconds) > startedAt_ + intake_.route()->latencyTarget;
+    isExpectedLate_ = BootClock::now() + fromSeconds(assignment.expectedFirstTokenSeconds) > startedAt_ + intake_.route()->latencyTarget;
     holder_ = assignment.holder;
     Reason reason;
-    if (!intake_.checkAgain(reason)) {
+    if (!intake_.recheck(reason)) {
         endDispatch(DispatchResult::Cancelled);
         fail(reason);
         return;
@@ -163,7 +165,7 @@
     const Target *target = gateway_.targets().find(assignment.engine);
     if (target == nullptr) {
         endDispatch(DispatchResult::Cancelled);
-        tryElsewhere();
+        retryElsewhere();
         return;
     }
     gateway_.fleet().announceDispatch(assignment);
@@ -185,16 +187,17 @@
     const TimePoint now = BootClock::now();
     phase_ = Phase::Sent;
     sentAt_ = now;
-    stallAt_ = now + stallTime();
-    queued_ = queued_.value_or(now - startedAt_);
+    stallCheckAt_ = now + stallTimeout();
+    queueTime_ = queueTime_.value_or(now - startedAt_);
     ++sends_;
-    ++runs_;
-    isAnswerKept_ = false;
-    targetStart_ = XXH3_64bits_withSeed(target.id.data(), target.id.size(), static_cast<std::uint64_t>(target.incarnation));
+    ++attempts_;
+    isAnswerRelayed_ = false;
+    targetIncarnationDigest_ = XXH3_64bits_withSeed(target.id.data(), target.id.size(), static_cast<std::uint64_t>(target.incarnation));
     std::string salt;
     CachePlan plan;
     const std::string_view lastEventId = events_.lastId().empty() ? std::string_view(intake_.caller().lastEventId) : std::string_view(events_.lastId());
-    const TargetRequest request = makeTargetRequest(gateway_, intake_, {target, timeLeft(now), lastEventId, expectedCached_, holder_, comesLate_}, salt, plan);
+    const TargetRequest request =
+        makeTargetRequest(gateway_, intake_, {target, timeLeft(now), lastEventId, expectedCached_, holder_, isExpectedLate_}, salt, plan);
     std::string bytes = gateway_.targetProtocol().writeHead(head_, request, body_.size());
     bytes.append(body_);
     connection_ = gateway_.pool().take(target, intake_.route()->isIdempotent(), now);
@@ -211,18 +214,18 @@
     answerHead_ = std::move(head);
     isNotExecuted_ = facts.isNotExecuted || facts.isOtherTarget;
     if (isNotExecuted_) {
-        notExecuted_ = facts;
+        notExecutedFacts_ = facts;
         return;
     }
-    hasRun_ = true;
+    mayHaveRun_ = true;
     phase_ = Phase::Answering;
-    held_.clear();
-    isAnswerKept_ = !isAnswerStarted_ || answerHead_.status == statusOk;
+    bufferedBody_.clear();
+    isAnswerRelayed_ = !isAnswerStarted_ || answerHead_.status == statusOk;
 }
 
 void RoutedRequest::onAnswerBody(std::string_view bytes)
 {
-    if (!isAnswerKept_) {
+    if (!isAnswerRelayed_) {
         return;
     }
     if (intake_.isStream() && answerHead_.status == statusOk) {
@@ -233,11 +236,11 @@
         relay(bytes);
         return;
     }
-    held_.append(bytes);
-    if (held_.size() > heldAnswerLimit) {
+    bufferedBody_.append(bytes);
+    if (bufferedBody_.size() > maxBufferedAnswerBytes) {
         startAnswer(std::nullopt);
-        relay(held_);
-        held_.clear();
+        relay(bufferedBody_);
+        bufferedBody_.clear();
     }
 }
 
@@ -246,11 +249,11 @@
     if (events.empty()) {
         return;
     }
-    if (!firstByte_) {
-        firstByte_ = BootClock::now() - startedAt_;
+    if (!timeToFirstByte_) {
+        timeToFirstByte_ = BootClock::now() - startedAt_;
     }
-    if (!isFirstEventNoted_) {
-        isFirstEventNoted_ = true;
+    if (!isFirstTokenReported_) {
+        isFirstTokenReported_ = true;
         gateway_.fleet().crashes().noteAnswered(fingerprint_);
         gateway_.dispatch().onFirstToken(schedulerId_);
     }
@@ -267,7 +270,7 @@
     }
     relayedBytes_ += bytes.size();
     session_->sendBody(bytes);
-    if (session_->unsent() > callerBacklogLimit && connection_ != nullptr) {
+    if (session_->unsent() > maxCallerBacklogBytes && connection_ != nullptr) {
         connection_->pauseReading();
         isReadingPaused_ = true;
     }
@@ -289,42 +292,42 @@
         onNotExecuted();
         return;
     }
-    if (!isFirstEventNoted_) {
+    if (!isFirstTokenReported_) {
         gateway_.fleet().crashes().noteAnswered(fingerprint_);
         gateway_.dispatch().onFirstToken(schedulerId_);
     }
-    const bool isFailure = answerHead_.status >= firstErrorStatus || !isAnswerKept_;
+    const bool isFailure = answerHead_.status >= firstErrorStatus || !isAnswerRelayed_;
     endDispatch(isFailure ? DispatchResult::Failed : DispatchResult::Finished);
-    if (!isAnswerKept_) {
-        breakOff("resumed stream was refused");
+    if (!isAnswerRelayed_) {
+        abortRelay("resumed stream was refused");
         return;
     }
-    const bool isTriedElsewhere = isFailure && !isAnswerStarted_ && isRetryable();
+    const bool isRetriedElsewhere = isFailure && !isAnswerStarted_ && isRetryable();
     if (isFailure) {
-        log_.failed(targetId_, answerHead_.status, isTriedElsewhere);
+        log_.failed(targetId_, answerHead_.status, isRetriedElsewhere);
     }
-    if (isTriedElsewhere) {
-        fallback_ = HeldAnswer{std::move(answerHead_), std::move(held_)};
-        held_.clear();
-        tryElsewhere();
+    if (isRetriedElsewhere) {
+        fallback_ = BufferedAnswer{std::move(answerHead_), std::move(bufferedBody_)};
+        bufferedBody_.clear();
+        retryElsewhere();
         return;
     }
     if (intake_.isStream() && answerHead_.status == statusOk && events_.hasPartial()) {
-        breakOff("stream ended within an event");
+        abortRelay("stream ended within an event");
         return;
     }
-    relayHeld();
+    relayBuffered();
 }
 
 void RoutedRequest::onNotExecuted()
 {
-    --runs_;
-    gateway_.targets().onNotExecuted(targetId_, notExecuted_, intake_.caller().model, BootClock::now());
+    --attempts_;
+    gateway_.targets().onNotExecuted(targetId_, notExecutedFacts_, intake_.caller().model, BootClock::now());
     gateway_.dispatch().invalidateEngines();
-    endDispatch(notExecuted_.isOtherTarget ? DispatchResult::Cancelled : DispatchResult::Declined);
-    log_.declined(targetId_, answerHead_.status, notExecuted_.isOtherTarget);
+    endDispatch(notExecutedFacts_.isOtherTarget ? DispatchResult::Cancelled : DispatchResult::Declined);
+    log_.declined(targetId_, answerHead_.status, notExecutedFacts_.isOtherTarget);
     isNotExecuted_ = false;
-    tryElsewhere();
+    retryElsewhere();
 }
 
 void RoutedRequest::onTargetLost(TargetLoss loss, std::string_view why)
@@ -336,38 +339,38 @@
         return;
     }
     log_.lost(targetId_, fingerprint_, why, loss == TargetLoss::NotSent, isAnswerStarted_);
-    if (loss == TargetLoss::MayHaveRun && !isFirstEventNoted_) {
-        gateway_.fleet().crashes().onTargetLost({fingerprint_, targetStart_}, BootClock::now());
+    if (loss == TargetLoss::MayHaveRun && !isFirstTokenReported_) {
+        gateway_.fleet().crashes().onTargetLost({fingerprint_, targetIncarnationDigest_}, BootClock::now());
     }
     endDispatch(DispatchResult::Failed);
     events_.dropPartial();
-    held_.clear();
+    bufferedBody_.clear();
     if (loss == TargetLoss::NotSent) {
-        --runs_;
+        --attempts_;
         --sends_;
-        ++unreached_;
-        tryElsewhere();
+        ++unreachableTargets_;
+        retryElsewhere();
         return;
     }
-    hasRun_ = true;
+    mayHaveRun_ = true;
     if (isRetryable() && !isQuarantined()) {
-        tryElsewhere();
+        retryElsewhere();
     } else if (isAnswerStarted_) {
-        breakOff(why);
+        abortRelay(why);
     } else {
         fail({ResultCode::TargetTruncated, "the target broke off"});
     }
 }
 
-void RoutedRequest::endDispatch(DispatchResult end)
+void RoutedRequest::endDispatch(DispatchResult result)
 {
-    isFirstEventNoted_ = false;
-    gateway_.dispatch().onEnded(schedulerId_, end);
+    isFirstTokenReported_ = false;
+    gateway_.dispatch().onEnded(schedulerId_, result);
 }
 
 bool RoutedRequest::isRetryable() const
 {
-    return intake_.route()->isIdempotent() && runs_ < intake_.route()->maxAttempts && timeLeft(BootClock::now()) > leastTimeForTry && session_ != nullptr;
+    return intake_.route()->isIdempotent() && attempts_ < intake_.route()->maxAttempts && timeLeft(BootClock::now()) > minTimeForAttempt && session_ != nullptr;
 }
 
 bool RoutedRequest::isQuarantined() const
@@ -380,14 +383,14 @@
     fail({ResultCode::Quarantined, "targets ended when they began this request"}, quarantineRetryAfter);
 }
 
-void RoutedRequest::tryElsewhere()
+void RoutedRequest::retryElsewhere()
 {
     if (session_ == nullptr) {
         finish("caller_gone", 0);
         return;
     }
     failedTargets_.push_back(targetId_);
-    if (sends_ + unreached_ >= mostSends || timeLeft(BootClock::now()) <= leastTimeForTry) {
+    if (sends_ + unreachableTargets_ >= maxSends || timeLeft(BootClock::now()) <= minTimeForAttempt) {
         fail({ResultCode::NoTarget, "no target took the request in time"});
         return;
     }
@@ -398,8 +401,8 @@
 {
     isAnswerStarted_ = true;
     fallback_.reset();
-    if (!firstByte_) {
-        firstByte_ = BootClock::now() - startedAt_;
+    if (!timeToFirstByte_) {
+        timeToFirstByte_ = BootClock::now() - startedAt_;
     }
     if (session_ == nullptr) {
         return;
@@ -414,11 +417,11 @@
     session_->beginAnswer(answerHead_.status, fields, bodyBytes);
 }
 
-void RoutedRequest::relayHeld()
+void RoutedRequest::relayBuffered()
 {
     if (!isAnswerStarted_) {
-        startAnswer(held_.size());
-        relay(held_);
+        startAnswer(bufferedBody_.size());
+        relay(bufferedBody_);
     }
     const auto session = std::move(session_);
     finish("answered", answerHead_.status);
@@ -434,9 +437,9 @@
     if (phase_ == Phase::Done) {
         return;
     }
-    const bool mustEnd = intake_.route() != nullptr && intake_.route()->kind == RouteKind::NonIdempotent && isRunning();
-    if (mustEnd) {
-        limit_ = BootClock::now() + orphanLimit;
+    const bool mustComplete = intake_.route() != nullptr && intake_.route()->kind == RouteKind::NonIdempotent && isRunning();
+    if (mustComplete) {
+        deadline_ = BootClock::now() + orphanTimeout;
         armTimer();
         return;
     }
@@ -454,9 +457,9 @@
 
 void RoutedRequest::armTimer()
 {
-    TimePoint next = limit_;
+    TimePoint next = deadline_;
     if (phase_ == Phase::Sent && isRetryable()) {
-        next = std::min(next, stallAt_);
+        next = std::min(next, stallCheckAt_);
     }
     timer_.expires_after(std::max(next - BootClock::now(), Duration::zero()));
     timer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
@@ -467,9 +470,9 @@
     });
 }
 
-Duration RoutedRequest::stallTime() const
+Duration RoutedRequest::stallTimeout() const
 {
-    return std::max(shortestStall, std::chrono::duration_cast<Duration>(intake_.route()->latencyTarget * stallInLatencyTargets));
+    return std::max(minStallTimeout, std::chrono::duration_cast<Duration>(intake_.route()->latencyTarget * stallTimeoutFactor));
 }
 
 void RoutedRequest::onTimer()
@@ -478,20 +481,20 @@
     if (phase_ == Phase::Done) {
         return;
     }
-    bool isStalled = phase_ == Phase::Sent && isRetryable() && now >= stallAt_;
-    if (isStalled && now < limit_ && !gateway_.dispatch().canRetryElsewhere(schedulerId_)) {
-        // Broken off here, work that nobody else can take now would be lost, and its answer, though late, with it.
+    bool isStalled = phase_ == Phase::Sent && isRetryable() && now >= stallCheckAt_;
+    if (isStalled && now < deadline_ && !gateway_.dispatch().canRetryElsewhere(schedulerId_)) {
+        // No other target can take the request now. Aborting it here would lose the work done and a response that may still come, though late.
         isStalled = false;
         gateway_.dispatch().onStalled(schedulerId_);
-        stallAt_ = now + stallLook;
+        stallCheckAt_ = now + stallCheckInterval;
     }
-    if (now < limit_ && !isStalled) {
+    if (now < deadline_ && !isStalled) {
         armTimer();
         return;
     }
     const bool wasRunning = isRunning();
     if (connection_ != nullptr && (wasRunning && intake_.route()->kind == RouteKind::NonIdempotent && !isStalled)) {
-        // A call that must run once is left to end; the caller gets its answer now.
+        // A non-idempotent call is left to complete; the caller gets its error response now.
         if (session_ == nullptr) {
             connection_->abandon();
             connection_.reset();
@@ -500,7 +503,7 @@
             return;
         }
         answerFailure({ResultCode::TargetTimeout, "the target has not answered in time"}, {});
-        limit_ = now + orphanLimit;
+        deadline_ = now + orphanTimeout;
         armTimer();
         return;
     }
@@ -509,14 +512,14 @@
         connection_.reset();
     }
     if (wasRunning) {
-        hasRun_ = true;
+        mayHaveRun_ = true;
         endDispatch(DispatchResult::Failed);
     } else {
         gateway_.dispatch().cancelQueued(schedulerId_);
     }
-    if (isStalled && now < limit_) {
+    if (isStalled && now < deadline_) {
         log_.stalled(targetId_, now - sentAt_);
-        tryElsewhere();
+        retryElsewhere();
         return;
     }
     fail(wasRunning ? Reason{ResultCode::TargetTimeout, "the target has not answered in time"}
@@ -529,38 +532,38 @@
         return;
     }
     if (isAnswerStarted_) {
-        breakOff(reason.text);
+        abortRelay(reason.text);
         return;
     }
     if (fallback_) {
         answerHead_ = std::move(fallback_->head);
-        held_ = std::move(fallback_->body);
-        relayHeld();
+        bufferedBody_ = std::move(fallback_->body);
+        relayBuffered();
         return;
     }
     const auto self = shared_from_this();
     answerFailure(reason, retryAfter);
-    finish(resultCodeInfo(reason.code).name, lastStatus_);
+    finish(resultCodeInfo(reason.code).name, failureStatus_);
 }
 
-/// Gives the caller its final answer and lets go of it; what runs at a target goes on.
+/// Sends the caller its final error response and releases the session. A call that runs at a target continues.
 void RoutedRequest::answerFailure(const Reason &reason, Duration retryAfter)
 {
-    const RunState state = hasRun_ || isRunning() ? RunState::MayHaveRun : RunState::NotRun;
-    if (state == RunState::NotRun && charged_ > 0) {
-        gateway_.fleet().giveBackTokens(intake_.teamName(), charged_);
+    const RunState state = mayHaveRun_ || isRunning() ? RunState::MayHaveRun : RunState::NotRun;
+    if (state == RunState::NotRun && chargedTokens_ > 0) {
+        gateway_.fleet().giveBackTokens(intake_.teamName(), chargedTokens_);
     }
     const auto session = std::move(session_);
-    lastStatus_ = gateway_.refuse(session.get(), reason, state, retryAfter > Duration::zero() ? retryAfter : usualRetryAfter);
+    failureStatus_ = gateway_.refuse(session.get(), reason, state, retryAfter > Duration::zero() ? retryAfter : defaultRetryAfter);
     const TimePoint now = BootClock::now();
-    log_.refused(reason, lastStatus_, state == RunState::MayHaveRun, now - startedAt_, gateway_.proofAge(now));
+    log_.refused(reason, failureStatus_, state == RunState::MayHaveRun, now - startedAt_, gateway_.proofAge(now));
 }
 
-void RoutedRequest::breakOff(std::string_view why)
+void RoutedRequest::abortRelay(std::string_view why)
 {
     const auto self = shared_from_this();
     const auto session = std::move(session_);
-    log_.brokenOff(targetId_, why);
+    log_.aborted(targetId_, why);
     finish("broken_off", 0);
     if (session != nullptr) {
         session->abortAnswer();
@@ -582,9 +585,9 @@
     ended.outcome = outcome;
     ended.status = status;
     ended.sends = sends_;
-    ended.time = BootClock::now() - startedAt_;
-    ended.queued = queued_;
-    ended.firstByte = firstByte_;
+    ended.duration = BootClock::now() - startedAt_;
+    ended.queueTime = queueTime_;
+    ended.timeToFirstByte = timeToFirstByte_;
     ended.target = targetId_;
     ended.bytes = relayedBytes_;
     log_.ended(ended);
@@ -593,7 +596,7 @@
 
 Duration RoutedRequest::timeLeft(TimePoint now) const
 {
-    return limit_ - now;
+    return deadline_ - now;
 }
 
 } // namespace Lovageloft
--- a/gateway/routed_request.h
+++ b/gateway/routed_request.h
@@ -22,28 +22,28 @@
 class CallerSession;
 class Gateway;
 
-/// One request on its way: from the caller's complete request over the queue and one or more targets to the end of the answer.
-/// Both sides are in one place, on one thread, so that a caller who leaves, a target that breaks off and a deadline are each
-/// one call away from the other side.
+/// Handles one request from the caller's complete message to the end of the response: checks it, queues it, sends it to one or more
+/// targets and relays the response. The caller's side and the target's side are in one object on one thread, so that a disconnected
+/// caller, a lost target and a passed deadline reach the other side by a plain function call.
 ///
-/// What the request is comes from its intake; then its team is charged and it is queued.
+/// RequestIntake parses and authorizes the request; then its team is charged and the request is queued.
 class RoutedRequest final : public std::enable_shared_from_this<RoutedRequest>, private ExchangeEvents
 {
 public:
     RoutedRequest(Gateway &gateway, std::shared_ptr<CallerSession> session, HttpHead &&head, std::string &&body);
 
-    /// Starts it, or lets it wait while this host has no configuration yet.
+    /// Starts processing. While this host has no configuration yet, processing is delayed; see Gateway::beginWhenConfigured.
     void begin();
     void beginNow();
 
-    /// The caller closed its connection. Work that may be repeated and streams are cancelled; a call that must run once is left
-    /// to end, as breaking it off leaves open whether it took effect.
+    /// The caller closed its connection. Idempotent requests and streams are cancelled; a non-idempotent call that a target may be running
+    /// is left to complete, because after an abort nobody would know whether it took effect.
     void onCallerDisconnected();
 
-    /// The caller has taken all that was sent.
+    /// All bytes sent to the caller have left the send buffer.
     void onCallerBufferEmpty();
 
-    /// What the scheduler decided.
+    /// The scheduler's decision.
     void onAssigned(const SchedulerAssignment &assignment);
     void onRefused(const SchedulerRefusal &refusal);
 
@@ -52,21 +52,21 @@
         return schedulerId_;
     }
 
-    /// Whether a target may be at work on it.
+    /// Whether a target may be processing the request.
     bool isRunning() const;
 
 private:
     enum class Phase : std::uint8_t
     {
-        Filtering, ///< Also while its team is being charged.
+        Filtering, ///< The intake's filters run or the team is being charged.
         Queued,
-        Sent, ///< To a target that has not answered yet.
-        Answering,
+        Sent, ///< A target has the request and has not responded yet.
+        Answering, ///< The target's response is being read.
         Done,
     };
 
-    /// A whole answer.
-    struct HeldAnswer
+    /// A complete response.
+    struct BufferedAnswer
     {
         HttpHead head;
         std::string body;
@@ -87,62 +87,62 @@
     void onNotExecuted();
     void onEvents(std::string_view events);
     void relay(std::string_view bytes);
-    void endDispatch(DispatchResult end);
+    void endDispatch(DispatchResult result);
     bool isRetryable() const;
     bool isQuarantined() const;
     void failQuarantined();
-    void tryElsewhere();
+    void retryElsewhere();
     void startAnswer(std::optional<std::size_t> bodyBytes);
-    void relayHeld();
+    void relayBuffered();
     void onTimer();
     void armTimer();
-    Duration stallTime() const;
+    Duration stallTimeout() const;
     void fail(const Reason &reason, Duration retryAfter = {});
     void answerFailure(const Reason &reason, Duration retryAfter);
-    void breakOff(std::string_view why);
+    void abortRelay(std::string_view why);
     void finish(std::string_view outcome, int status);
     Duration timeLeft(TimePoint now) const;
 
     Gateway &gateway_;
-    std::shared_ptr<CallerSession> session_; ///< Null once the caller is gone.
+    std::shared_ptr<CallerSession> session_; ///< Null after the caller disconnected or got its final response.
     HttpHead head_;
     std::string body_;
     RequestIntake intake_;
     RequestLog log_;
     RequestFingerprint fingerprint_{};
-    std::uint64_t targetStart_ = 0; ///< Digest of the name and start of the target that has it.
-    double charged_ = 0; ///< Tokens taken from the team's rate.
+    std::uint64_t targetIncarnationDigest_ = 0; ///< Digest of the current target's id and incarnation.
+    double chargedTokens_ = 0; ///< Tokens consumed from the team's rate.
     Phase phase_ = Phase::Filtering;
     TimePoint startedAt_;
-    TimePoint limit_; ///< When the caller must have its final answer.
+    TimePoint deadline_; ///< When the caller must have its final response, or when an orphaned call is abandoned.
     TimePoint sentAt_;
-    TimePoint stallAt_; ///< When the target's silence is to be looked at.
+    TimePoint stallCheckAt_; ///< When a target that has not responded is next checked for a stall.
     RequestId schedulerId_{};
     boost::asio::steady_timer timer_;
     std::shared_ptr<TargetConnection> connection_;
     std::string targetId_;
-    std::string holder_; ///< Another engine that is believed to hold more of the prompt.
-    std::uint32_t expectedCached_ = 0; ///< Prompt tokens that the target is believed to hold.
+    std::string holder_; ///< Another engine that is expected to have more of the prompt in its cache; may be empty.
+    std::uint32_t expectedCached_ = 0; ///< Prompt tokens expected in the target's cache.
     std::vector<std::string> failedTargets_;
-    bool comesLate_ = false; ///< Its first token is expected after the route's latency target.
-    int runs_ = 0; ///< Targets that may have run it.
-    int sends_ = 0; ///< Targets that got it, also those that declined.
-    int unreached_ = 0; ///< Targets that could not be reached.
-    bool hasRun_ = false; ///< Some target may have run it.
-    std::string held_; ///< Answer that is not passed on yet.
+    bool isExpectedLate_ = false; ///< The first token is expected after the route's latency target.
+    int attempts_ = 0; ///< Targets that may have run the request.
+    int sends_ = 0; ///< Targets that received the request, including those that declined it.
+    int unreachableTargets_ = 0; ///< Targets that could not be reached.
+    bool mayHaveRun_ = false; ///< Any target may have run the request.
+    std::string bufferedBody_; ///< Part of the response body that has not been relayed yet.
     HttpHead answerHead_;
     EventSplitter events_;
-    AnswerFacts notExecuted_;
-    bool isNotExecuted_ = false; ///< The answer being read says that the request did not run.
-    std::optional<HeldAnswer> fallback_; ///< A target's failure, passed on if no other target does better.
-    bool isFirstEventNoted_ = false;
+    AnswerFacts notExecutedFacts_;
+    bool isNotExecuted_ = false; ///< The response being read says that the request did not run.
+    std::optional<BufferedAnswer> fallback_; ///< A target's error response, relayed if no other target succeeds.
+    bool isFirstTokenReported_ = false;
     bool isReadingPaused_ = false;
-    int lastStatus_ = 0;
-    bool isAnswerStarted_ = false; ///< The caller has the head of an answer.
-    bool isAnswerKept_ = false; ///< The answer being read is passed on.
+    int failureStatus_ = 0;
+    bool isAnswerStarted_ = false; ///< The head of a response was sent to the caller.
+    bool isAnswerRelayed_ = false; ///< The response being read is relayed to the caller.
     std::size_t relayedBytes_ = 0;
-    std::optional<Duration> queued_; ///< Until it was first sent to a target.
-    std::optional<Duration> firstByte_;
+    std::optional<Duration> queueTime_; ///< From the start until the request was first sent to a target.
+    std::optional<Duration> timeToFirstByte_;
 };
 
 } // namespace Lovageloft
--- a/gateway/target_request.cpp
+++ b/gateway/target_request.cpp
@@ -18,14 +18,14 @@
         return request;
     }
     request.weightsVersion = gateway.targets().weightsOf(send.target, intake.caller().model);
-    // What older weights computed must not be found by newer ones, nor one isolated team's by another.
+    // Cache entries computed with older weights must not be used with newer ones, nor those of an isolated team for another team.
     salt = std::to_string(request.weightsVersion) + '/' + intake.cacheScope();
     request.cacheSalt = salt;
     const Target *holder = send.holder.empty() ? nullptr : gateway.targets().find(send.holder);
     plan = planCache({intake.caller().promptTokens.value_or(0), intake.sharedTokens(), send.cachedTokens, gateway.cacheStoreFor(send.target), holder});
     request.fetchFrom = plan.fetchFrom;
     request.saveTo = plan.saveTo;
-    request.urgency = engineUrgency(intake.priority(), send.comesLate);
+    request.urgency = engineUrgency(intake.priority(), send.isExpectedLate);
     return request;
 }
 
--- a/gateway/target_request.h
+++ b/gateway/target_request.h
@@ -12,18 +12,18 @@
 namespace Lovageloft
 {
 
-/// One send of a request.
+/// One attempt to send a request to a target.
 struct TargetSend
 {
     const Target &target;
     Duration timeLeft{};
-    std::string_view lastEventId; ///< After which a stream goes on.
-    std::uint32_t cachedTokens = 0; ///< Prompt tokens that the target is believed to hold.
-    std::string_view holder; ///< Another engine that is believed to hold more of the prompt; may be empty.
-    bool comesLate = false; ///< The first token is expected after the route's latency target.
+    std::string_view lastEventId; ///< Event after which a stream resumes.
+    std::uint32_t cachedTokens = 0; ///< Prompt tokens expected in the target's cache.
+    std::string_view holder; ///< Another engine that is expected to have more of the prompt in its cache; may be empty.
+    bool isExpectedLate = false; ///< The first token is expected after the route's latency target.
 };
 
-/// What the target is told beside the request itself. The result refers to `salt` and `plan`, which it fills in.
+/// Makes what the gateway adds to the caller's request for one target. Fills in `salt` and `plan`, which the result refers to.
 TargetRequest makeTargetRequest(const Gateway &gateway, const RequestIntake &intake, const TargetSend &send, std::string &salt, CachePlan &plan);
 
 } // namespace Lovageloft
--- a/gateway/team_budget.cpp
+++ b/gateway/team_budget.cpp
@@ -9,81 +9,81 @@
 namespace
 {
 
-/// Part of each limit that is divided evenly, in a fleet of evenHosts or less. Enough that small requests of most teams need no message;
-/// what lies in pools is what a host can get beyond its even part.
-constexpr double mostOwnPart = 0.3;
-constexpr std::size_t evenHosts = 96;
+/// Fraction of each limit that is divided evenly, in fleets of up to maxHostsAtFullFraction hosts. Large enough that small requests of most
+/// teams need no message; what remains is in the pools, which serve hosts beyond their local share.
+constexpr double maxLocalFraction = 0.3;
+constexpr std::size_t maxHostsAtFullFraction = 96;
 constexpr std::size_t homesPerTeam = 2;
 
-double ownPartOf(std::size_t hosts)
+double localFractionOf(std::size_t hosts)
 {
-    return mostOwnPart * std::min(1.0, static_cast<double>(evenHosts) / static_cast<double>(std::max<std::size_t>(hosts, 1)));
+    return maxLocalFraction * std::min(1.0, static_cast<double>(maxHostsAtFullFraction) / static_cast<double>(std::max<std::size_t>(hosts, 1)));
 }
 
-/// Hosts of one region answer within 3 ms; one that has not after this is gone or cut off.
+/// Hosts of one region reply within 3 ms; one that takes longer than this timeout is down or partitioned.
 constexpr Duration replyTimeout = std::chrono::milliseconds(30);
 
-/// A pool that comes to a new home is not given out for so long: other hosts may still ask the home before. They hear of a change
-/// of the hosts within half a second.
-constexpr Duration homeSettleTime = std::chrono::seconds(1);
+/// Delay before a pool that moved to a new home becomes available, as other hosts may still ask the previous home. A change of the set of
+/// hosts reaches all of them within half a second.
+constexpr Duration homeActivationDelay = std::chrono::seconds(1);
 
-/// A process that has just started gives its pools out at once, and begins with this part of them. Made for a restart of the whole
-/// fleet under load, when empty pools refuse requests below their teams' limits. A part and not
-/// all, since a host that was home until then may have given out the rest: this much is covered by what limits may be passed by.
-constexpr double startingPool = 0.25;
+/// Fill level of the pools of a process that has just started, which are available at once. After a restart of the whole fleet under load,
+/// empty pools would refuse requests of teams below their limits. Full pools could grant tokens twice, as a host that was home before may
+/// have granted them; this fraction stays within the tolerance by which limits may be exceeded.
+constexpr double initialPoolFraction = 0.25;
 
-/// What a host may come back after when no home answered.
-constexpr Duration silentRetryAfter = std::chrono::milliseconds(500);
+/// Retry time in the reply of a host that is not an active home of the team, for example during homeActivationDelay.
+constexpr Duration inactiveHomeRetryAfter = std::chrono::milliseconds(500);
 
 } // namespace
 
 TeamBudget::TeamBudget(std::string host)
     : host_(std::move(host))
 {
-    pools_.setShare(0, {});
-    own_.setShare(0, {});
+    poolLimiter_.setShare(0, {});
+    localLimiter_.setShare(0, {});
 }
 
 void TeamBudget::setLimits(std::span<const TeamLimit> limits, TimePoint now)
 {
     limits_.assign(limits.begin(), limits.end());
-    own_.setLimits(limits, now);
-    pools_.setLimits(limits, now);
+    localLimiter_.setLimits(limits, now);
+    poolLimiter_.setLimits(limits, now);
     updateHomes(now);
 }
 
 void TeamBudget::setHosts(std::size_t hosts, const std::vector<std::string> &candidates, double share, TimePoint now)
 {
-    const double ownPart = ownPartOf(hosts);
-    own_.setShare(ownPart * share, now);
+    const double localFraction = localFractionOf(hosts);
+    localLimiter_.setShare(localFraction * share, now);
     const std::size_t homes = std::clamp<std::size_t>(candidates.size(), 1, homesPerTeam);
-    pools_.setShare((1 - ownPart) / static_cast<double>(homes), now);
+    poolLimiter_.setShare((1 - localFraction) / static_cast<double>(homes), now);
     candidates_ = RendezvousNames(candidates);
     updateHomes(now);
 }
 
-void TeamBudget::consume(std::string_view team, double tokens, TimePoint now, const RequestSender &send, DecisionHandler answer)
+void TeamBudget::consume(std::string_view team, double tokens, TimePoint now, const RequestSender &send, DecisionHandler handler)
 {
     Reason reason;
     Duration retryAfter{};
-    if (own_.tryConsume(team, tokens, now, reason, retryAfter)) {
-        answer({true});
+    if (localLimiter_.tryConsume(team, tokens, now, reason, retryAfter)) {
+        handler({true});
         return;
     }
     const std::uint64_t id = ++lastId_;
-    pending_.emplace(id, Pending{std::string(team), tokens, 0, 0, now, retryAfter, std::move(answer)});
+    pending_.emplace(id, Pending{std::string(team), tokens, 0, 0, now, retryAfter, std::move(handler)});
     askNext(id, now, send);
 }
 
 TokenReply TeamBudget::onRequest(const TokenRequest &request, TimePoint now)
 {
-    const auto home = homeSince_.find(request.team);
-    if (home == homeSince_.end() || now < home->second) {
-        return {request.id, false, silentRetryAfter};
+    const auto home = poolActiveFrom_.find(request.team);
+    if (home == poolActiveFrom_.end() || now < home->second) {
+        return {request.id, false, inactiveHomeRetryAfter};
     }
     Reason reason;
     Duration retryAfter{};
-    const bool isGranted = pools_.tryConsume(request.team, request.tokens, now, reason, retryAfter);
+    const bool isGranted = poolLimiter_.tryConsume(request.team, request.tokens, now, reason, retryAfter);
     return {request.id, isGranted, retryAfter};
 }
 
@@ -103,14 +103,14 @@
 
 void TeamBudget::onTick(TimePoint now, const RequestSender &send)
 {
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> timedOut;
     for (const auto &[id, pending] : pending_) {
         if (now >= pending.deadline) {
-            late.push_back(id);
+            timedOut.push_back(id);
         }
     }
-    for (const std::uint64_t id : late) {
-        ++pending_.at(id).homesSilent;
+    for (const std::uint64_t id : timedOut) {
+        ++pending_.at(id).homesTimedOut;
         askNext(id, now, send);
     }
 }
@@ -126,7 +126,7 @@
 
 void TeamBudget::refund(std::string_view team, double tokens)
 {
-    own_.refund(team, tokens);
+    localLimiter_.refund(team, tokens);
 }
 
 std::vector<std::string> TeamBudget::homesOf(std::string_view team) const
@@ -153,14 +153,14 @@
         }
         pending.retryAfter = std::min(pending.retryAfter, reply.retryAfter);
     }
-    finish(id, {false, pending.retryAfter, pending.nextHome, pending.homesSilent});
+    finish(id, {false, pending.retryAfter, pending.nextHome, pending.homesTimedOut});
 }
 
 void TeamBudget::finish(std::uint64_t id, const TokenDecision &decision)
 {
-    const DecisionHandler answer = std::move(pending_.at(id).answer);
+    const DecisionHandler handler = std::move(pending_.at(id).handler);
     pending_.erase(id);
-    answer(decision);
+    handler(decision);
 }
 
 void TeamBudget::updateHomes(TimePoint now)
@@ -168,23 +168,23 @@
     if (candidates_.isEmpty() || limits_.empty()) {
         return;
     }
-    const bool isStart = !std::exchange(hasHomes_, true);
+    const bool isFirstUpdate = !std::exchange(isInitialized_, true);
     std::map<std::string, TimePoint, std::less<>> homes;
     for (const TeamLimit &limit : limits_) {
         const std::vector<std::string> candidates = homesOf(limit.name);
         if (std::find(candidates.begin(), candidates.end(), host_) == candidates.end()) {
             continue;
         }
-        const auto known = homeSince_.find(limit.name);
-        if (known != homeSince_.end()) {
+        const auto known = poolActiveFrom_.find(limit.name);
+        if (known != poolActiveFrom_.end()) {
             homes.emplace(limit.name, known->second);
             continue;
         }
-        const Duration settle = isStart ? Duration::zero() : homeSettleTime;
-        homes.emplace(limit.name, now + settle);
-        pools_.resetBucket(limit.name, isStart ? startingPool : 0, now + settle);
+        const Duration delay = isFirstUpdate ? Duration::zero() : homeActivationDelay;
+        homes.emplace(limit.name, now + delay);
+        poolLimiter_.resetBucket(limit.name, isFirstUpdate ? initialPoolFraction : 0, now + delay);
     }
-    homeSince_ = std::move(homes);
+    poolActiveFrom_ = std::move(homes);
 }
 
 } // namespace Lovageloft
--- a/gateway/team_budget.h
+++ b/gateway/team_budget.h
@@ -15,23 +15,24 @@
 namespace Lovageloft
 {
 
-/// How a request for tokens ended.
+/// Result of a request for tokens.
 struct TokenDecision
 {
     bool isGranted = false;
     Duration retryAfter{};
-    std::size_t homesAsked = 0; ///< Hosts with a pool of the team that were asked, this one included.
-    std::size_t homesSilent = 0; ///< Of them, those that did not answer in time.
+    std::size_t homesAsked = 0; ///< Home hosts of the team that were asked, this one included.
+    std::size_t homesTimedOut = 0; ///< Of them, those that did not reply in time.
 };
 
-/// Keeps the teams' rates over all hosts. A part of each limit is divided evenly among the hosts and spent without a message; the
-/// rest lies in pools at two homes for each team, found by rendezvous hashing, which any host asks when its own part is spent.
+/// Enforces the teams' rate limits over all hosts. A fraction of each limit is divided evenly among the hosts, which consume their shares
+/// locally without a message. The rest is in pools at two home hosts for each team, chosen by rendezvous hashing; a host asks them when its
+/// local share is used up.
 ///
-/// The load it is made for: prompts of 17,000 tokens against rates of which an even split leaves a host two a second. A team whose
-/// requests meet the same host by chance would be refused far below its rate. The sum of all parts is one whatever messages are
-/// lost: a host that is cut off spends its even part only, a home that is lost takes its pool with it until another one has it. Only pools
-/// may be overdrawn, by a request larger than a full one. The larger the fleet, the smaller the part that is divided evenly: what each
-/// of hundreds of hosts gets of it is less than one prompt, and lies idle.
+/// An even split alone does not work for prompts of 17,000 tokens, of which it leaves each host only two a second: a team whose requests
+/// reach the same host by chance would be refused far below its rate. The shares and pools always add up to one limit, whatever messages
+/// are lost: a partitioned host consumes its local share only, and the pool of a lost home is unavailable until another host becomes home.
+/// Only pools may be overdrawn, by a request larger than a full pool. The fraction that is divided evenly shrinks in large fleets: the
+/// share of each of hundreds of hosts is less than one prompt and would stay unused.
 class TeamBudget
 {
 public:
@@ -42,23 +43,23 @@
 
     void setLimits(std::span<const TeamLimit> limits, TimePoint now);
 
-    /// How many hosts count, with this one, and those of them that may be homes. `share` is this host's part of what is divided evenly, at
-    /// most 1 / hosts.
+    /// Sets the number of active hosts including this one, and which of them may be homes. `share` is this host's share of the evenly divided
+    /// fraction, at most 1 / hosts.
     void setHosts(std::size_t hosts, const std::vector<std::string> &candidates, double share, TimePoint now);
 
-    /// Takes tokens. `answer` is called at once or later, from `onReply` or `onTick`.
-    void consume(std::string_view team, double tokens, TimePoint now, const RequestSender &send, DecisionHandler answer);
+    /// Consumes tokens if the team's rate allows it. `handler` is called at once, or later from `onReply` or `onTick`.
+    void consume(std::string_view team, double tokens, TimePoint now, const RequestSender &send, DecisionHandler handler);
 
-    /// A home's part: whether its pool has the tokens.
+    /// Handles a request from another host to this home's pool.
     TokenReply onRequest(const TokenRequest &request, TimePoint now);
 
     void onReply(const TokenReply &reply, TimePoint now, const RequestSender &send);
 
-    /// Gives up on homes that have not answered. To be called often enough, at `nextTimeout`.
+    /// Times out homes that have not replied and asks the next ones. To be called at `nextTimeout`.
     void onTick(TimePoint now, const RequestSender &send);
     std::optional<TimePoint> nextTimeout() const;
 
-    /// Returns tokens of a request that did not run.
+    /// Returns the tokens of a request that did not run.
     void refund(std::string_view team, double tokens);
 
 private:
@@ -67,10 +68,10 @@
         std::string team;
         double tokens = 0;
         std::size_t nextHome = 0;
-        std::size_t homesSilent = 0;
+        std::size_t homesTimedOut = 0;
         TimePoint deadline;
         Duration retryAfter{};
-        DecisionHandler answer;
+        DecisionHandler handler;
     };
 
     std::vector<std::string> homesOf(std::string_view team) const;
@@ -81,12 +82,12 @@
     std::string host_;
     std::vector<TeamLimit> limits_;
     RendezvousNames candidates_; ///< Hosts that may be homes.
-    TeamRateLimiter own_{TeamRateLimiter::LargeRequestPolicy::Refuse};
-    TeamRateLimiter pools_;
-    std::map<std::string, TimePoint, std::less<>> homeSince_; ///< Teams whose pool lies here, and from when on it is given out.
+    TeamRateLimiter localLimiter_{TeamRateLimiter::LargeRequestPolicy::Refuse};
+    TeamRateLimiter poolLimiter_;
+    std::map<std::string, TimePoint, std::less<>> poolActiveFrom_; ///< Teams that have a pool on this host, and when the pool becomes available.
     std::map<std::uint64_t, Pending> pending_;
     std::uint64_t lastId_ = 0;
-    bool hasHomes_ = false; ///< False until hosts and limits are known for the first time.
+    bool isInitialized_ = false; ///< Whether hosts and limits have both been known.
 };
 
 } // namespace Lovageloft
--- a/tests/gateway/one_engine.h
+++ b/tests/gateway/one_engine.h
@@ -7,7 +7,7 @@
 namespace Lovageloft
 {
 
-/// A list of targets with one engine, "e" of the service "s", that runs version 1 of the model "m".
+/// Targets with a single engine, "e" of the service "s", which runs version 1 of the model "m".
 inline std::shared_ptr<TargetMap> oneEngine()
 {
     auto targets = std::make_shared<TargetMap>();
--- a/tests/gateway/test_cache_plan.cpp
+++ b/tests/gateway/test_cache_plan.cpp
@@ -13,10 +13,10 @@
 
 BOOST_AUTO_TEST_SUITE(CachePlanTest)
 
-BOOST_AUTO_TEST_CASE(aPromptThatIsMostlyItsCallersOwnIsFetchedButNotSaved)
+BOOST_AUTO_TEST_CASE(aPromptWithFewSharedTokensIsFetchedButNotSaved)
 {
-    // Long explanations bring 20,000 tokens of their own with 3,000 shared ones. Saved whole, twenty of them a second fill the store's
-    // link; callers of other prompts wait for what they fetch from it, and it declines to take what others could use.
+    // Guards against a saturated link of the cache store. Long explanations have 20,000 unique tokens and 3,000 shared ones; twenty such saves
+    // a second fill the link, fetches for other prompts wait behind them, and the store declines saves that others could use.
     const CachePlan plan = planCache({23'000, 3'000, 0, store, nullptr});
     BOOST_TEST(plan.fetchFrom == store);
     BOOST_TEST(plan.saveTo.empty());
@@ -25,22 +25,22 @@
 
 BOOST_AUTO_TEST_CASE(shortSharedPartsAreFetchedAndSavedToo)
 {
-    // Sorting a ticket takes 570 shared tokens. Left out for being short, each of them is computed by each engine after every change of
-    // weights.
+    // The prompt that sorts a ticket has 570 shared tokens. If such short parts were skipped, every engine would compute each of them after
+    // every change of weights.
     const CachePlan plan = planCache({2'200, 570, 0, store, nullptr});
     BOOST_TEST(plan.fetchFrom == store);
     BOOST_TEST(plan.saveTo == store);
     BOOST_TEST(planCache({500, 200, 0, store, nullptr}).saveTo == store);
 }
 
-BOOST_AUTO_TEST_CASE(whatAnEngineHoldsIsNotSavedAgain)
+BOOST_AUTO_TEST_CASE(sharedPartsInTheEnginesCacheAreNotSavedAgain)
 {
     BOOST_TEST(planCache({2'300, 570, 512, store, nullptr}).saveTo.empty());
     BOOST_TEST(planCache({17'000, 13'300, 13'056, store, nullptr}).saveTo.empty());
     BOOST_TEST(planCache({17'000, 13'300, 1'024, store, nullptr}).saveTo == store);
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatHoldsThePartsGoesBeforeTheStore)
+BOOST_AUTO_TEST_CASE(anEngineThatHoldsThePartsIsPreferredToTheStore)
 {
     Target holder;
     holder.address = {"10.0.0.5", 8'000};
@@ -48,7 +48,7 @@
     BOOST_TEST(planCache({17'000, 13'300, 0, {}, &holder}).fetchFrom == "10.0.0.5:8000");
 }
 
-BOOST_AUTO_TEST_CASE(aPromptThatSharesNothingIsNeitherFetchedNorSaved)
+BOOST_AUTO_TEST_CASE(aPromptWithoutSharedTokensIsNeitherFetchedNorSaved)
 {
     const CachePlan plan = planCache({2'300, 0, 0, store, nullptr});
     BOOST_TEST(plan.fetchFrom.empty());
--- a/tests/gateway/test_last_begin_on_older_weights.cpp
+++ b/tests/gateway/test_last_begin_on_older_weights.cpp
@@ -44,7 +44,7 @@
         directory.setNamedWeights({"m", 2, namedAt});
     }
 
-    /// What becomes of a request `after` the naming.
+    /// The scheduler's decision about a request that comes `after` the naming.
     SchedulerOutcome decide(std::uint32_t promptTokens, Duration after, std::vector<BlockHash> blocks = {})
     {
         const TimePoint now = namedAt + after;
@@ -65,7 +65,7 @@
         return outcomes.front();
     }
 
-    /// The last request is answered at once.
+    /// Completes the last request.
     void finishLast(Duration after)
     {
         scheduler.onFirstToken(RequestId{lastId}, std::nullopt, namedAt + after);
@@ -78,7 +78,7 @@
         return assignment != nullptr ? assignment->engine : std::string();
     }
 
-    static bool isRefusedForGood(const SchedulerOutcome &outcome)
+    static bool isRefusedWithNoTarget(const SchedulerOutcome &outcome)
     {
         const auto *refusal = std::get_if<SchedulerRefusal>(&outcome);
         return refusal != nullptr && refusal->reason.code == ResultCode::NoTarget;
@@ -95,50 +95,50 @@
 
 BOOST_FIXTURE_TEST_SUITE(LastBeginOnOlderWeights, Fixture)
 
-BOOST_AUTO_TEST_CASE(noLongPromptIsSentToOlderWeightsThatItWouldReachTooLate)
+BOOST_AUTO_TEST_CASE(noLongPromptIsSentToOlderWeightsIfItWouldBeginTooLate)
 {
-    // New weights are named while the host that orders engines to load them stands still, and an engine keeps the older ones. Prompts of up
-    // to 40,000 tokens were sent to it until 6.8 s after the naming, one behind the other, and began 8.2 to 8.9 s after it: callers got
-    // answers from weights that operators had replaced, where they allow eight seconds.
+    // New weights are named while the host that orders engines to load them is paused, and an engine keeps the older ones. Prompts of up to
+    // 40,000 tokens, sent to it one after the other until 6.8 s after the naming, began 8.2 to 8.9 s after it: callers got responses from
+    // replaced weights after the eight seconds that operators allow.
     addEngine("e", 1);
     BOOST_TEST(engineOf(decide(longPrompt, 3s)) == "e|m");
     finishLast(4s);
-    BOOST_TEST(isRefusedForGood(decide(longPrompt, 6'500ms)));
+    BOOST_TEST(isRefusedWithNoTarget(decide(longPrompt, 6'500ms)));
 }
 
 BOOST_AUTO_TEST_CASE(shortPromptsMayStillUseOlderWeights)
 {
-    // Were all work taken from these engines as early as the longest prompt asks for, a fleet that is late with its loads would turn short
-    // requests away that begin at once.
+    // Guards against a cutoff for all requests at the time that only the longest prompt needs. A fleet that is late with loading weights would
+    // then refuse short requests that could begin at once.
     addEngine("e", 1);
     BOOST_TEST(engineOf(decide(shortPrompt, 6'700ms)) == "e|m");
     finishLast(6'750ms);
-    BOOST_TEST(isRefusedForGood(decide(shortPrompt, 6'900ms)));
+    BOOST_TEST(isRefusedWithNoTarget(decide(shortPrompt, 6'900ms)));
 }
 
 BOOST_AUTO_TEST_CASE(aShortPromptDoesNotWaitOnOlderWeightsBehindALongOne)
 {
-    // Another host has just sent a long prompt to the engine with older weights. A short request is sent behind it, and the wait makes it
-    // begin there after the deadline, though it was sent in time.
+    // Another host has just sent a long prompt to the engine with older weights. A short request queued behind it at the engine would begin
+    // after the deadline although it was sent in time.
     addEngine("e", 1);
     scheduler.setEngines(directory.engines(namedAt));
     scheduler.onDispatchedByPeer("e|m", 60'000, 0, {}, namedAt + 6'300ms);
-    BOOST_TEST(isRefusedForGood(decide(shortPrompt, 6'400ms)));
+    BOOST_TEST(isRefusedWithNoTarget(decide(shortPrompt, 6'400ms)));
 }
 
-BOOST_AUTO_TEST_CASE(whatOlderWeightsHaveCachedGoesToNewerOnesInTime)
+BOOST_AUTO_TEST_CASE(promptsCachedOnOlderWeightsMoveToNewerOnesInTime)
 {
-    // The engine with older weights has the shared part of a conversation in its cache, one with newer weights has not. The cached part
-    // draws the next prompt of the conversation, long by itself, to the older weights until the last moment.
+    // The engine with older weights has the shared part of a conversation in its cache, the one with newer weights has not. Placement by
+    // cached tokens would send the next prompt of the conversation, which has a long new part, to the older weights up to the last moment.
     addEngine("old", 1);
     const std::vector<BlockHash> blocks(longPrompt / partBlockTokens, 42);
     BOOST_TEST(engineOf(decide(longPrompt, 3s, blocks)) == "old|m");
     finishLast(4s);
     addEngine("new", 2);
-    constexpr std::uint32_t ownPart = 20'000;
-    BOOST_TEST(engineOf(decide(longPrompt + ownPart, 5'200ms, blocks)) == "old|m");
+    constexpr std::uint32_t uniqueTokens = 20'000;
+    BOOST_TEST(engineOf(decide(longPrompt + uniqueTokens, 5'200ms, blocks)) == "old|m");
     finishLast(6s);
-    BOOST_TEST(engineOf(decide(longPrompt + ownPart, 6'500ms, blocks)) == "new|m");
+    BOOST_TEST(engineOf(decide(longPrompt + uniqueTokens, 6'500ms, blocks)) == "new|m");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/gateway/test_request_dispatch.cpp
+++ b/tests/gateway/test_request_dispatch.cpp
@@ -7,9 +7,9 @@
 
 BOOST_AUTO_TEST_SUITE(RequestDispatchTest)
 
-BOOST_AUTO_TEST_CASE(aHundredEnginesThatLoadAtOnceRenewTheTargetsOnce)
+BOOST_AUTO_TEST_CASE(aHundredEnginesThatLoadAtOnceRefreshTheListOnce)
 {
-    // Guards against a host that spends its processor on its list of targets while all engines load new weights.
+    // Guards against high CPU usage for rebuilding the list of engines while all engines load new weights.
     boost::asio::io_context loop;
     int renewals = 0;
     RequestDispatch dispatch(loop, [&] {
--- a/tests/gateway/test_team_budget.cpp
+++ b/tests/gateway/test_team_budget.cpp
@@ -15,7 +15,7 @@
 
 constexpr TimePoint start{std::chrono::hours(1)};
 
-/// Hosts that send each other datagrams, some of which are lost; in virtual time.
+/// Simulates hosts that exchange datagrams, some of which are lost, in virtual time.
 class Fleet
 {
 public:
@@ -59,13 +59,13 @@
 
     std::vector<TeamLimit> limits{{"large", 100'000, 100'000}, {"small", 5'000, 5'000}};
     std::map<std::string, std::unique_ptr<TeamBudget>> hosts;
-    std::map<std::string, bool> isCut;
+    std::map<std::string, bool> isPartitioned;
     TimePoint now = start;
-    double loss = 0;
+    double lossRate = 0;
     double granted = 0;
     double refused = 0;
     int decided = 0;
-    int requests = 0; ///< Datagrams that asked for tokens.
+    int requests = 0; ///< Datagrams sent that ask for tokens.
     Random random;
 
 private:
@@ -81,21 +81,21 @@
         return [this, from](const std::string &to, const TokenRequest &request) {
             ++requests;
             if (!isLost(from, to)) {
-                wire_.push_back({from, to, request});
+                inTransit_.push_back({from, to, request});
             }
         };
     }
 
     bool isLost(const std::string &from, const std::string &to)
     {
-        return isCut[from] || isCut[to] || static_cast<double>(randomBelow(random, 1'000)) < loss * 1'000;
+        return isPartitioned[from] || isPartitioned[to] || static_cast<double>(randomBelow(random, 1'000)) < lossRate * 1'000;
     }
 
     void deliver()
     {
-        while (!wire_.empty()) {
-            const Datagram datagram = wire_.front();
-            wire_.pop_front();
+        while (!inTransit_.empty()) {
+            const Datagram datagram = inTransit_.front();
+            inTransit_.pop_front();
             const TokenReply reply = hosts.at(datagram.to)->onRequest(datagram.request, now);
             if (!isLost(datagram.to, datagram.from)) {
                 hosts.at(datagram.from)->onReply(reply, now, sendFrom(datagram.from));
@@ -103,7 +103,7 @@
         }
     }
 
-    std::deque<Datagram> wire_;
+    std::deque<Datagram> inTransit_;
 };
 
 } // namespace
@@ -112,17 +112,17 @@
 
 BOOST_AUTO_TEST_CASE(theSumOverAllHostsStaysWithinTheLimitWhateverIsLost)
 {
-    // A team sends many times its rate to all hosts while datagrams are lost and hosts are cut off. If a host that hears nothing
-    // helped itself to more, the team would take the engines from its rivals; those would notice late answers.
+    // A team sends many times its rate to all hosts while datagrams are lost and hosts are partitioned. If a partitioned host granted more
+    // than its share, the team would take engine time from other teams, whose responses would be late.
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         Fleet fleet(2 + seed % 8, seed);
-        fleet.loss = static_cast<double>(seed % 4) * 0.2;
+        fleet.lossRate = static_cast<double>(seed % 4) * 0.2;
         constexpr Duration step = 20ms;
         constexpr int steps = 500;
         for (int i = 0; i < steps; ++i) {
             const std::string host = "h" + std::to_string(randomBelow(fleet.random, fleet.hosts.size()));
             if (randomBelow(fleet.random, 50) == 0) {
-                fleet.isCut[host] = !fleet.isCut[host];
+                fleet.isPartitioned[host] = !fleet.isPartitioned[host];
             }
             fleet.consume(host, "large", static_cast<double>(1 + randomBelow(fleet.random, 30'000)));
             fleet.advance(step);
@@ -133,10 +133,10 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aTeamWithinItsRateIsServedThoughAllItsRequestsMeetOneHost)
+BOOST_AUTO_TEST_CASE(aTeamWithinItsRateIsServedIfAllItsRequestsReachOneHost)
 {
-    // The balancer sends all connections of one team to the same host. An even split among eight hosts would refuse seven of eight
-    // of its requests though it is far below its rate.
+    // The balancer sends all connections of one team to the same host. An even split among eight hosts would refuse seven of eight of its
+    // requests although the team is far below its rate.
     Fleet fleet(8, 1);
     fleet.advance(3s);
     for (int i = 0; i < 40; ++i) {
@@ -146,9 +146,9 @@
     BOOST_TEST(fleet.granted > 0.95 * 40 * 17'000);
 }
 
-BOOST_AUTO_TEST_CASE(aPromptLargerThanAWholeBucketIsServedInTurn)
+BOOST_AUTO_TEST_CASE(aPromptLargerThanAFullBucketIsServed)
 {
-    // A small team sends one prompt of three times its burst. A bucket that never holds that much would refuse it for ever.
+    // A small team sends one prompt of three times its burst. A bucket whose capacity is smaller would refuse it forever.
     Fleet fleet(8, 1);
     fleet.advance(30s);
     fleet.consume("h0", "small", 15'000);
@@ -157,11 +157,11 @@
 
 BOOST_AUTO_TEST_CASE(aHomeThatIsGoneDelaysARequestByItsTimeoutOnly)
 {
-    // A home of the team loses power. Callers whose host asks it must not wait for their whole patience.
+    // The homes of the team lose power. Callers whose host asks them must not wait until they give up.
     Fleet fleet(8, 1);
     fleet.advance(30s);
     for (const auto &[name, host] : fleet.hosts) {
-        fleet.isCut[name] = name != "h0";
+        fleet.isPartitioned[name] = name != "h0";
     }
     for (int i = 0; i < 20; ++i) {
         fleet.consume("h0", "large", 17'000);
@@ -171,16 +171,16 @@
     BOOST_TEST(fleet.decided == 20);
 }
 
-BOOST_AUTO_TEST_CASE(aNewHomeBeginsEmptyAndLate)
+BOOST_AUTO_TEST_CASE(aNewHomeStartsEmptyAfterADelay)
 {
-    // A home dies and its pool moves to another host, while others still believe in the first. Were the new pool full at once, the
-    // team would get a second burst.
+    // A home fails and its pool moves to another host while other hosts may still use the first. If the new pool were full at once, the team
+    // would get a second burst.
     TeamBudget host("a");
     const std::vector<TeamLimit> limits{{"t", 1'000, 1'000}};
     const std::vector<std::string> many{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"};
     host.setLimits(limits, start);
     host.setHosts(many.size(), many, 0.1, start);
-    BOOST_REQUIRE(!host.onRequest({1, "t", 1}, start + 1h).isGranted); // No home while there are ten.
+    BOOST_REQUIRE(!host.onRequest({1, "t", 1}, start + 1h).isGranted); // Not a home among ten hosts.
     const TimePoint moved = start + 2h;
     host.setHosts(2, {"a", "b"}, 0.5, moved);
     BOOST_TEST(!host.onRequest({2, "t", 1}, moved + 900ms).isGranted);
@@ -190,8 +190,8 @@
 
 BOOST_AUTO_TEST_CASE(aFleetThatRestartsServesItsTeamsAtOnceWithoutASecondBurst)
 {
-    // All hosts lose power under load and come back within a second. With empty pools most requests of the first seconds would be
-    // refused though their teams are far below their rates; with full ones a team that had spent its burst would get it again.
+    // All hosts lose power under load and come back within a second. With empty pools most requests of the first seconds would be refused
+    // although their teams are far below their rates; with full pools a team that had used up its burst would get it again.
     Fleet fleet(8, 1);
     // A quarter of the two pools, in whole requests.
     for (int i = 0; i < 8; ++i) {
@@ -206,7 +206,7 @@
 
 BOOST_AUTO_TEST_CASE(aTeamAboveItsRateGetsNoPromptFromEachOfHundredsOfHosts)
 {
-    // Guards against a limit that grows with the fleet: one team sends 4.6 times its usual tokens, in long prompts, to all hosts.
+    // Guards against a limit that grows with the number of hosts: one team sends 4.6 times its usual tokens, in long prompts, to all hosts.
     constexpr std::size_t hosts = 295;
     constexpr double rate = 300'000;
     constexpr double prompt = 17'000;
@@ -217,9 +217,9 @@
         host->setLimits(std::vector<TeamLimit>{{"large", rate, rate}}, fleet.now);
     }
     fleet.advance(10s);
-    double owed = 0;
+    double pendingTokens = 0;
     for (double at = 0; at < seconds; at += toSeconds(step)) {
-        for (owed += 4.6 * rate / 1.8 * toSeconds(step); owed >= prompt; owed -= prompt) {
+        for (pendingTokens += 4.6 * rate / 1.8 * toSeconds(step); pendingTokens >= prompt; pendingTokens -= prompt) {
             fleet.consume("h" + std::to_string(randomBelow(fleet.random, hosts)), "large", prompt);
         }
         fleet.advance(step);
@@ -229,7 +229,7 @@
 
 BOOST_AUTO_TEST_CASE(aTeamWithinItsRateIsServedByHundredsOfHosts)
 {
-    // Guards against tokens that lie idle in small parts at hundreds of hosts while prompts within the team's rate are refused.
+    // Guards against unused tokens in small shares on hundreds of hosts while prompts within the team's rate are refused.
     constexpr std::size_t hosts = 295;
     constexpr double rate = 300'000;
     constexpr double prompt = 17'000;
@@ -239,9 +239,9 @@
         host->setLimits(std::vector<TeamLimit>{{"large", rate, rate}}, fleet.now);
     }
     fleet.advance(10s);
-    double owed = 0;
+    double pendingTokens = 0;
     for (int i = 0; i < 1'500; ++i) {
-        for (owed += rate / 1.8 * toSeconds(step); owed >= prompt; owed -= prompt) {
+        for (pendingTokens += rate / 1.8 * toSeconds(step); pendingTokens >= prompt; pendingTokens -= prompt) {
             fleet.consume("h" + std::to_string(randomBelow(fleet.random, hosts)), "large", prompt);
         }
         fleet.advance(step);
