--- a/gateway/fleet_link.cpp
+++ b/gateway/fleet_link.cpp
@@ -85,13 +85,13 @@
     budget_.setLimits(limits, BootClock::now());
 }
 
-void FleetLink::takeTokens(std::string_view team, double tokens, TeamBudget::DecisionHandler answer)
+void FleetLink::acquireTokens(std::string_view team, double tokens, TeamBudget::DecisionHandler answer)
 {
     budget_.consume(team, tokens, BootClock::now(), sendTokenRequest_, std::move(answer));
     scheduleTokenTimeout();
 }
 
-void FleetLink::giveBackTokens(std::string_view team, double tokens)
+void FleetLink::refundTokens(std::string_view team, double tokens)
 {
     budget_.refund(team, tokens);
 }
@@ -108,12 +108,12 @@
     peers_.broadcast(CacheStoreNotice{address, isAlive});
 }
 
-void FleetLink::askWeightsAges()
+void FleetLink::queryWeightsAges()
 {
     forSomeOthers([this](const std::string &host) { peers_.send(host, WeightsQuestion{}); });
 }
 
-void FleetLink::askProofs()
+void FleetLink::queryProofs()
 {
     forSomeOthers([this](const std::string &host) { peers_.send(host, ProofRequest{}); });
 }
@@ -155,8 +155,8 @@
 void FleetLink::onWeightsQuestion(const std::string &host)
 {
     const TimePoint now = BootClock::now();
-    for (const NamedWeights &weights : gateway_.targets().namedWithKnownAge()) {
-        peers_.send(host, WeightsAge{weights.model, weights.version, now - weights.learntAt});
+    for (const PublishedWeights &weights : gateway_.targets().weightsWithKnownTime()) {
+        peers_.send(host, WeightsAge{weights.model, weights.version, now - weights.publishedAt});
     }
 }
 
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -25,7 +25,7 @@
 /// at once, and the store responds within 20 ms. A longer wait would keep them from going to another host.
 constexpr Duration maxConfigurationWait = std::chrono::milliseconds(40);
 
-/// How long other hosts are asked when weights were named, even if this host seems to have learnt of them at once: a network partition that
+/// How long other hosts are asked when weights were published, even if this host seems to have learnt of them at once: a network partition that
 /// ended while this host waited for the store can't be detected here. Datagrams may be lost, and other hosts may learn of the weights a
 /// moment later.
 constexpr Duration weightsAgeQueryTime = std::chrono::seconds(1);
@@ -104,7 +104,7 @@
         return;
     }
     const bool isNew = table_ == nullptr || table->revision != table_->revision;
-    freshness_.take({table->version, table->revision}, provenAt);
+    freshness_.setTable({table->version, table->revision}, provenAt);
     if (!isNew) {
         return;
     }
@@ -158,7 +158,7 @@
 
 void Gateway::notePeerTable(std::int64_t revision, std::int64_t version)
 {
-    if (freshness_.noteElsewhere({version, revision})) {
+    if (freshness_.notePeerTable({version, revision})) {
         writeLog(LogLevel::Warning, "configuration_of_older_copy", {{"version", table_->version}, {"elsewhere", version}});
     }
 }
@@ -174,13 +174,13 @@
     }
 }
 
-void Gateway::setNamedWeights(const NamedWeights &weights)
+void Gateway::setPublishedWeights(const PublishedWeights &weights)
 {
     const TimePoint now = BootClock::now();
-    NamedWeights adjusted = weights;
-    adjusted.silence = std::max(adjusted.silence, standstills_.justEnded(now) - (now - weights.learntAt));
+    PublishedWeights adjusted = weights;
+    adjusted.silence = std::max(adjusted.silence, pauseDetector_.recentPause(now) - (now - weights.publishedAt));
     writeLog(LogLevel::Info, "weights_named", {{"model", weights.model}, {"version", weights.version}, {"silence_ms", toMillis(adjusted.silence)}});
-    directory_.setNamedWeights(adjusted);
+    directory_.setPublishedWeights(adjusted);
     queryWeightsAgesUntil_ = now + weightsAgeQueryTime;
     onWeightsChanged();
 }
@@ -188,7 +188,7 @@
 void Gateway::onWeightsChanged()
 {
     if (weightsListener_) {
-        weightsListener_(directory_.newestNamed());
+        weightsListener_(directory_.newestPublished());
     }
     refreshTargets();
 }
@@ -198,20 +198,20 @@
     weightsListener_ = std::move(listener);
 }
 
-void Gateway::setYoungWeights(const std::set<std::string> &names)
+void Gateway::setRecentWeights(const std::set<std::string> &names)
 {
     writeLog(LogLevel::Info, "young_weights_known", {{"count", static_cast<std::int64_t>(names.size())}});
-    directory_.setYoungWeights(names);
+    directory_.setRecentWeights(names);
     refreshTargets();
 }
 
 void Gateway::learnWeightsAge(const WeightsAge &age)
 {
     const TimePoint now = BootClock::now();
-    if (standstills_.justEnded(now) != Duration::zero()) {
+    if (pauseDetector_.recentPause(now) != Duration::zero()) {
         return; // The message may have been waiting unread and the real age be higher. The other hosts are asked again.
     }
-    if (directory_.learnAge({age.model, age.version, now - age.age})) {
+    if (directory_.updatePublicationTime({age.model, age.version, now - age.age})) {
         writeLog(LogLevel::Info, "weights_age_known", {{"model", age.model}, {"version", age.version}, {"age_ms", toMillis(age.age)}});
         onWeightsChanged();
     }
@@ -219,7 +219,7 @@
 
 Duration Gateway::recentPause(TimePoint now) const
 {
-    return standstills_.justEnded(now);
+    return pauseDetector_.recentPause(now);
 }
 
 void Gateway::setHosts(const std::map<std::string, HostRecord> &hosts, double share)
@@ -511,14 +511,14 @@
 void Gateway::tick()
 {
     const TimePoint now = BootClock::now();
-    standstills_.look(now);
+    pauseDetector_.tick(now);
     pool_.closeStale(now);
     fleet_.sendHeartbeat(now);
     if (now < queryProofsUntil_) {
-        fleet_.askProofs();
+        fleet_.queryProofs();
     }
-    if (now < queryWeightsAgesUntil_ || directory_.needsAge(now)) {
-        fleet_.askWeightsAges();
+    if (now < queryWeightsAgesUntil_ || directory_.needsPublicationTime(now)) {
+        fleet_.queryWeightsAges();
     }
     dispatch_.refreshEngines(now);
     const bool ready = isReady(now);
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -12,11 +12,11 @@
 #include "core/metrics.h"
 #include "gateway/fleet_link.h"
 #include "gateway/operator_view.h"
+#include "gateway/pause_detector.h"
 #include "gateway/protocol.h"
 #include "gateway/request_dispatch.h"
 #include "gateway/request_metrics.h"
 #include "gateway/routing_table.h"
-#include "gateway/standstills.h"
 #include "gateway/status_server.h"
 #include "gateway/table_freshness.h"
 #include "gateway/target_directory.h"
@@ -33,7 +33,7 @@
 {
     Duration keyProofWindow = std::chrono::seconds(5); ///< Time within which a withdrawn key must stop working.
     Duration configurationWindow = std::chrono::seconds(2); ///< Time within which a new configuration must be in force.
-    Duration weightsDeadline = std::chrono::seconds(8); ///< Time after new weights are named when no request may begin on older ones any more.
+    Duration weightsDeadline = std::chrono::seconds(8); ///< Time after the publication of new weights when no request may begin on older ones any more.
     RetryBudget::Limits retries; ///< Over all hosts.
     double quotaOver = 0; ///< Fraction of a team's limit by which the limit may be exceeded.
     double quotaSlack = 0; ///< Tokens by which the limit may be exceeded in addition.
@@ -89,21 +89,21 @@
     /// A configuration with this revision exists and may not have been read yet.
     void noteNewerTable(std::int64_t revision);
 
-    /// Another host has this configuration in force; see TableFreshness::noteElsewhere.
+    /// Another host has this configuration in force; see TableFreshness::notePeerTable.
     void notePeerTable(std::int64_t revision, std::int64_t version);
 
     void setTargets(std::shared_ptr<const TargetMap> targets);
-    void setNamedWeights(const NamedWeights &weights);
+    void setPublishedWeights(const PublishedWeights &weights);
 
-    /// Called with the newest weights of each model whenever this host learns of new weights or of when weights were named. Set it before
+    /// Called with the newest weights of each model whenever this host learns of new weights or of when weights were published. Set it before
     /// `run`.
-    using WeightsListener = std::function<void(const std::vector<NamedWeights> &)>;
+    using WeightsListener = std::function<void(const std::vector<PublishedWeights> &)>;
     void setWeightsListener(WeightsListener listener);
 
-    /// Sets the weights that the store still listed as recently named when this host started.
-    void setYoungWeights(const std::set<std::string> &names);
+    /// Sets the weights that the store still listed as recently published when this host started.
+    void setRecentWeights(const std::set<std::string> &names);
 
-    /// Another host reported how long ago weights were named.
+    /// Another host reported how long ago weights were published.
     void learnWeightsAge(const WeightsAge &age);
 
     /// Sets the active hosts including this one, with their addresses for datagrams, and this host's share of what is divided evenly.
@@ -243,7 +243,7 @@
     double share_ = 0; ///< This host's share of what is divided evenly.
     std::string leader_;
     bool hasTargets_ = false;
-    Standstills standstills_;
+    PauseDetector pauseDetector_;
     TimePoint queryWeightsAgesUntil_;
     bool isAccepting_ = false;
     std::optional<TimePoint> drainStartedAt_;
--- a/gateway/routed_request.cpp
+++ b/gateway/routed_request.cpp
@@ -93,8 +93,8 @@
         return;
     }
     deadline_ = startedAt_ + intake_.route()->timeout;
-    if (intake_.caller().patience) {
-        deadline_ = std::min(deadline_, startedAt_ + *intake_.caller().patience);
+    if (intake_.caller().timeout) {
+        deadline_ = std::min(deadline_, startedAt_ + *intake_.caller().timeout);
     }
     charge();
 }
@@ -106,7 +106,7 @@
         return;
     }
     const double tokens = intake_.chargedTokens();
-    gateway_.fleet().takeTokens(intake_.teamName(), tokens, [self = shared_from_this(), tokens](const TokenDecision &decision) {
+    gateway_.fleet().acquireTokens(intake_.teamName(), tokens, [self = shared_from_this(), tokens](const TokenDecision &decision) {
         if (!decision.isGranted) {
             self->log_.tokensDenied(tokens, decision);
             self->fail({ResultCode::OverRate, "team is over its rate"}, decision.retryAfter);
@@ -114,7 +114,7 @@
         }
         self->chargedTokens_ = tokens;
         if (self->phase_ == Phase::Done) {
-            self->gateway_.fleet().giveBackTokens(self->intake_.teamName(), tokens);
+            self->gateway_.fleet().refundTokens(self->intake_.teamName(), tokens);
             return;
         }
         self->admit();
@@ -212,7 +212,7 @@
         gateway_.onTargetLoad(targetId_, *facts.load);
     }
     answerHead_ = std::move(head);
-    isNotExecuted_ = facts.isNotExecuted || facts.isOtherTarget;
+    isNotExecuted_ = facts.isNotExecuted || facts.isTargetMismatch;
     if (isNotExecuted_) {
         notExecutedFacts_ = facts;
         return;
@@ -324,8 +324,8 @@
     --attempts_;
     gateway_.targets().onNotExecuted(targetId_, notExecutedFacts_, intake_.caller().model, BootClock::now());
     gateway_.dispatch().invalidateEngines();
-    endDispatch(notExecutedFacts_.isOtherTarget ? DispatchResult::Cancelled : DispatchResult::Declined);
-    log_.declined(targetId_, answerHead_.status, notExecutedFacts_.isOtherTarget);
+    endDispatch(notExecutedFacts_.isTargetMismatch ? DispatchResult::Cancelled : DispatchResult::Declined);
+    log_.declined(targetId_, answerHead_.status, notExecutedFacts_.isTargetMismatch);
     isNotExecuted_ = false;
     retryElsewhere();
 }
@@ -551,7 +551,7 @@
 {
     const RunState state = mayHaveRun_ || isRunning() ? RunState::MayHaveRun : RunState::NotRun;
     if (state == RunState::NotRun && chargedTokens_ > 0) {
-        gateway_.fleet().giveBackTokens(intake_.teamName(), chargedTokens_);
+        gateway_.fleet().refundTokens(intake_.teamName(), chargedTokens_);
     }
     const auto session = std::move(session_);
     failureStatus_ = gateway_.refuse(session.get(), reason, state, retryAfter > Duration::zero() ? retryAfter : defaultRetryAfter);
--- a/gateway/target_request.cpp
+++ b/gateway/target_request.cpp
@@ -17,7 +17,7 @@
     if (!request.isForEngine) {
         return request;
     }
-    request.weightsVersion = gateway.targets().weightsOf(send.target, intake.caller().model);
+    request.weightsVersion = gateway.targets().weightsVersionOf(send.target, intake.caller().model);
     // Cache entries computed with older weights must not be used with newer ones, nor those of an isolated team for another team.
     salt = std::to_string(request.weightsVersion) + '/' + intake.cacheScope();
     request.cacheSalt = salt;
--- a/tests/gateway/test_last_begin_on_older_weights.cpp
+++ b/tests/gateway/test_last_begin_on_older_weights.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-constexpr TimePoint namedAt{std::chrono::hours(1)};
+constexpr TimePoint publishedAt{std::chrono::hours(1)};
 constexpr Duration deadline = 8s;
 constexpr std::uint32_t longPrompt = 39'500;
 constexpr std::uint32_t shortPrompt = 100;
 
-/// Engines of a model whose version 2 was named at `namedAt`, and a scheduler that knows them.
+/// Engines of a model whose version 2 was published at `publishedAt`, and a scheduler that knows them.
 struct Fixture
 {
     Fixture()
@@ -41,13 +41,13 @@
         target.models = {{"m", version}};
         targets.emplace(id, std::move(target));
         directory.setTargets(std::make_shared<const TargetMap>(targets));
-        directory.setNamedWeights({"m", 2, namedAt});
+        directory.setPublishedWeights({"m", 2, publishedAt});
     }
 
-    /// The scheduler's decision about a request that comes `after` the naming.
+    /// The scheduler's decision about a request that comes `after` the publication.
     SchedulerOutcome decide(std::uint32_t promptTokens, Duration after, std::vector<BlockHash> blocks = {})
     {
-        const TimePoint now = namedAt + after;
+        const TimePoint now = publishedAt + after;
         scheduler.setEngines(directory.engines(now));
         SchedulerRequest request;
         request.id = RequestId{++lastId};
@@ -68,8 +68,8 @@
     /// Completes the last request.
     void finishLast(Duration after)
     {
-        scheduler.onFirstToken(RequestId{lastId}, std::nullopt, namedAt + after);
-        scheduler.onEnded(RequestId{lastId}, DispatchResult::Finished, namedAt + after);
+        scheduler.onFirstToken(RequestId{lastId}, std::nullopt, publishedAt + after);
+        scheduler.onEnded(RequestId{lastId}, DispatchResult::Finished, publishedAt + after);
     }
 
     static std::string engineOf(const SchedulerOutcome &outcome)
@@ -97,8 +97,8 @@
 
 BOOST_AUTO_TEST_CASE(noLongPromptIsSentToOlderWeightsIfItWouldBeginTooLate)
 {
-    // New weights are named while the host that orders engines to load them is paused, and an engine keeps the older ones. Prompts of up to
-    // 40,000 tokens, sent to it one after the other until 6.8 s after the naming, began 8.2 to 8.9 s after it: callers got responses from
+    // New weights are published while the host that orders engines to load them is paused, and an engine keeps the older ones. Prompts of up to
+    // 40,000 tokens, sent to it one after the other until 6.8 s after the publication, began 8.2 to 8.9 s after it: callers got responses from
     // replaced weights after the eight seconds that operators allow.
     addEngine("e", 1);
     BOOST_TEST(engineOf(decide(longPrompt, 3s)) == "e|m");
@@ -121,8 +121,8 @@
     // Another host has just sent a long prompt to the engine with older weights. A short request queued behind it at the engine would begin
     // after the deadline although it was sent in time.
     addEngine("e", 1);
-    scheduler.setEngines(directory.engines(namedAt));
-    scheduler.onDispatchedByPeer("e|m", 60'000, 0, {}, namedAt + 6'300ms);
+    scheduler.setEngines(directory.engines(publishedAt));
+    scheduler.onDispatchedByPeer("e|m", 60'000, 0, {}, publishedAt + 6'300ms);
     BOOST_TEST(isRefusedWithNoTarget(decide(shortPrompt, 6'400ms)));
 }
 
