--- a/coordination/claim_runner.cpp
+++ b/coordination/claim_runner.cpp
@@ -27,7 +27,7 @@
 
 ClaimRunner::~ClaimRunner()
 {
-    // Nothing can send the call any more. A claim that was never sent must be canceled, otherwise retries would be told to wait for it.
+    // Nothing can send the call any more. A claim that was never sent must be cancelled, otherwise retries would be told to wait for it.
     table_.cancel(nonce_, TimePoint{});
     table_.onLost(nonce_);
 }
@@ -278,7 +278,7 @@
 
 ClaimStep ClaimRunner::refuseUnsent(Reason reason, TimePoint now)
 {
-    // If a peer's query has canceled the claim before, the peer may have claimed the key and run the call since.
+    // If a peer's query has cancelled the claim before, the peer may have claimed the key and run the call since.
     const bool wasUnsent = table_.cancel(nonce_, now) && isClaimed_;
     return refuse(reason.code, std::move(reason.text), wasUnsent ? RunState::NotRun : RunState::MayHaveRun, now, table_.options().retryAfter);
 }
--- a/coordination/claim_runner.h
+++ b/coordination/claim_runner.h
@@ -20,25 +20,27 @@
     Send, ///< Open a connection, then call beginSend() right before the first byte; or call cancel().
     Wait, ///< Sent: call onAnswer() or onLost() when the outcome is known.
     Answer, ///< Return answer() to the caller.
-    Refuse, ///< Return reason() and runState() to the caller.
+    Refuse, ///< Return reason(), runState() and retryAfter() to the caller.
 };
 
 /// Handles one non-idempotent request: claims its key in the store and lets it be sent at most once, or finds the answer of an
 /// earlier attempt. Each step makes at most one call to the store, so that a test can interrupt it between any two calls. Not
 /// thread-safe.
 ///
-/// Without conflicts it needs two writes to the store, the claim and its answer, and no read.
+/// Without conflicts a call needs two writes to the store and no read: this class writes the claim, and ClaimRecorder its answer.
+/// ClaimLease needs one more store call per hour for the lease that all claims share.
 class ClaimRunner
 {
 public:
-    /// `nonce` must be unique over all processes: 16 random bytes.
+    /// `prefix` is the prefix of all keys in the store; see claimKey(). `nonce` must be unique over all processes: 16 random bytes.
     ClaimRunner(ClaimTable &table, ClaimLease &lease, Store &store, std::string_view prefix, const ClaimCall &call, std::string nonce);
     ClaimRunner(const ClaimRunner &) = delete;
     ClaimRunner &operator=(const ClaimRunner &) = delete;
 
-    /// Cancels the claim if the call was not sent.
+    /// Cancels the claim of an unsent call; records a sent call without an answer as lost.
     ~ClaimRunner();
 
+    /// After Continue: carries out the next step, with at most one call to the store.
     ClaimStep step(TimePoint now);
 
     const ClaimQuery &query() const;
@@ -50,7 +52,7 @@
     /// After Send: returns whether the call may be sent now. If not, it must never be sent, and the runner refuses.
     bool beginSend(TimePoint now);
 
-    /// After Send and before beginSend(): the call will not be sent, for this reason.
+    /// Before beginSend(): the call will not be sent, for this reason. Changes nothing if the call was sent or the request is decided.
     ClaimStep cancel(Reason reason, TimePoint now);
 
     /// After beginSend(): the complete answer arrived on the connection on which the call was sent.
@@ -62,7 +64,8 @@
     const ClaimAnswer &answer() const;
     const Reason &reason() const;
 
-    /// NotRun only if the store has shown that no request with this key ran. A host that cannot reach the store knows that it
+    /// With Refuse: NotRun only if the store has shown that this call did not run. Either its claim was written to the store and
+    /// cancelled before the call was sent, or the key belongs to another request. A host that cannot reach the store knows that it
     /// sent nothing itself, but not whether an earlier attempt of the same call ran through another host.
     RunState runState() const;
 
--- a/coordination/claim_table.cpp
+++ b/coordination/claim_table.cpp
@@ -91,7 +91,7 @@
         erase(entry);
         return true;
     }
-    entry->second.phase = Phase::Canceled;
+    entry->second.phase = Phase::Cancelled;
     entry->second.nextAttemptAt = now;
     return true;
 }
@@ -137,7 +137,7 @@
         return reply;
     }
     if (isUnsent(entry->second) && entry->second.isWritten && !isValid(entry->second, now)) {
-        entry->second.phase = Phase::Canceled;
+        entry->second.phase = Phase::Cancelled;
         entry->second.nextAttemptAt = now;
     }
     switch (entry->second.phase) {
@@ -146,7 +146,7 @@
     case Phase::Sent:
         reply.fate = ClaimFate::Running;
         break;
-    case Phase::Canceled:
+    case Phase::Cancelled:
         reply.fate = ClaimFate::NeverSent;
         break;
     case Phase::Answered:
@@ -165,12 +165,12 @@
     const std::lock_guard lock(mutex_);
     for (auto entry = entries_.begin(); entry != entries_.end();) {
         const Phase phase = entry->second.phase;
-        const bool hasEnded = phase == Phase::Answered || phase == Phase::Lost || phase == Phase::Canceled;
+        const bool hasEnded = phase == Phase::Answered || phase == Phase::Lost || phase == Phase::Cancelled;
         if (!hasEnded || entry->second.nextAttemptAt > now) {
             ++entry;
             continue;
         }
-        if (phase == Phase::Canceled && now - entry->second.claimedAt > options_.canceledLifetime + options_.validity) {
+        if (phase == Phase::Cancelled && now - entry->second.claimedAt > options_.cancelledLifetime + options_.validity) {
             const auto old = entry++;
             erase(old);
             continue;
@@ -212,7 +212,7 @@
 
 ClaimUpdate ClaimTable::makeUpdate(const std::string &nonce, const Entry &entry) const
 {
-    ClaimUpdate update{nonce, entry.key, entry.revision, entry.leaseId, entry.phase == Phase::Canceled, {}};
+    ClaimUpdate update{nonce, entry.key, entry.revision, entry.leaseId, entry.phase == Phase::Cancelled, {}};
     if (!update.isDeletion) {
         const ClaimState state = entry.phase == Phase::Answered ? ClaimState::Answered : ClaimState::Unknown;
         update.value = formatClaimRecord({state, host_, incarnation_, nonce, entry.requestDigest, entry.leaseId, entry.answer});
--- a/coordination/order_scheduler.cpp
+++ b/coordination/order_scheduler.cpp
@@ -270,8 +270,8 @@
 }
 
 /// How many engines may load at the same time. With a fixed number, a leader that takes over late, or answers that run for seconds, need
-/// more rounds than fit before the deadline, after which an engine that still waits to load must not serve: ten of fourteen engines
-/// were idle while the four that had loaded were overloaded. The number therefore follows from the time left and the recent duration
+/// more rounds than fit before the deadline, after which an engine that still waits to load must not serve: for example, ten of
+/// fourteen engines are idle while the four that have loaded are overloaded. The number therefore follows from the time left and the recent duration
 /// of a round.
 std::size_t OrderScheduler::maxConcurrentLoads(TimePoint now) const
 {
--- a/coordination/order_scheduler.h
+++ b/coordination/order_scheduler.h
@@ -14,7 +14,8 @@
 namespace Lovageloft
 {
 
-/// The state of an engine, either reported or desired. Empty fields of a desired state are left to the engine.
+/// The state of an engine, either reported or desired. Empty fields of a desired state are left to the engine, and so are adapters
+/// that it does not list.
 struct EngineState
 {
     std::string model;
@@ -77,8 +78,9 @@
 /// Limits and times of the order scheduler.
 struct OrderOptions
 {
-    std::size_t maxLoads = 3; ///< Concurrent weight loads; with more, the weight store slows all of them down.
-    double maxLoadFraction = 0; ///< Fraction of the engines that may load concurrently, if that is more than `maxLoads`.
+    std::size_t maxLoads =
+        3; ///< Concurrent weight loads; with more, the weight store slows all of them down. A deadline may require more; see DesiredEngine::dueAt.
+    double maxLoadFraction = 0; ///< Fraction of the engines that may load concurrently; the larger of this and `maxLoads` applies.
     Duration orderValidity = std::chrono::seconds(1); ///< Maximum time from the decision to the sending of an order.
     Duration answerTimeout = std::chrono::seconds(5); ///< Timeout for the answer to an order or a read.
     Duration loadTimeout = std::chrono::seconds(30); ///< How long a load counts as running if its end is not observed.
@@ -88,7 +90,7 @@
     TimePoint listeningSince{}; ///< When this host began to receive the orders of others; before that, any engine may have received one.
     Duration loadNotice{}; ///< Time between the notice of a load and its order; zero for no notice.
     Duration pollInterval = std::chrono::seconds(5); ///< Between reads of an engine in its desired state.
-    Duration maxReportAge{}; ///< Maximum age of a reported state: a report within this time after an order may show the state before it.
+    Duration maxReportAge{}; ///< Maximum age of a reported state. An engine is not read for this time after an accepted order, whose effect may be missing.
     Duration retryDelay = std::chrono::seconds(1); ///< Before the same order is repeated; doubles with each repeat, up to 32 times this value.
 };
 
@@ -118,7 +120,8 @@
     /// Reports that another lease holder has given an order to this engine, or is about to.
     void onOrderByOther(std::string_view target, TimePoint now);
 
-    /// Reports the result of a read.
+    /// Reports the result of a read. Ignored if no read is pending, or if it was requested before the last order. For a read that failed
+    /// nothing is reported; it is repeated after `answerTimeout`.
     void onState(std::string_view target, const EngineState &state, TimePoint now);
 
 private:
--- a/coordination/share_bucket.cpp
+++ b/coordination/share_bucket.cpp
@@ -131,7 +131,7 @@
 
 void ShareBucket::capLevel()
 {
-    // The cap keeps a negative level: a debt is not canceled. burst - reserved is negative while reservations exceed a reduced
+    // The cap keeps a negative level: a debt is not cancelled. burst - reserved is negative while reservations exceed a reduced
     // capacity, which must not create a debt.
     const double room = std::max(burst_ - reserved_, 0.0);
     level_ = std::min(level_, room);
--- a/coordination/share_bucket.h
+++ b/coordination/share_bucket.h
@@ -13,8 +13,8 @@
 
 /// A token bucket that also supports reservations: tokens debited now and used within a bounded time, or never.
 ///
-/// With a plain bucket, tokens debited from a full bucket could be used up to a second later, after the bucket has refilled,
-/// so that the burst plus the refill of that second pass at once: each remote debit would let a team exceed its burst.
+/// With a plain bucket, tokens debited from a full bucket could be used when the bucket has refilled. If that is a second later,
+/// the burst plus the refill of that second pass at once: each remote debit would let a team exceed its burst.
 /// Reserved tokens therefore keep occupying capacity: level + reserved never exceeds the burst. Whenever the tokens are used
 /// within that time, the total is the same as if they had stayed in the bucket until then.
 class ShareBucket
@@ -44,7 +44,7 @@
     /// Marks reserved tokens as used, so that they no longer occupy capacity. Does nothing if the reservation has expired.
     void commit(std::uint64_t id, TimePoint now);
 
-    /// Returns reserved tokens that will not be used to the bucket. Returns their number, 0 if the reservation has expired.
+    /// Puts reserved tokens that will not be used back into the bucket. Returns their number, 0 if the reservation has expired.
     double release(std::uint64_t id, TimePoint now);
 
     /// Adds tokens that were charged and not used, up to the capacity. Returns the tokens added; the rest is lost.
--- a/coordination/share_hint.h
+++ b/coordination/share_hint.h
@@ -13,10 +13,11 @@
     /// Sets the share of the home: rate in tokens per second, burst in tokens.
     void setLimits(double rate, double burst);
 
-    /// The expected balance in tokens: the burst if the home has never replied, 0 while it is in backoff.
+    /// The expected balance in tokens: the burst less pending requests if the home has never replied, 0 while it is in backoff.
     double estimate(TimePoint now) const;
 
-    /// The most tokens that the home can hold: the burst if its last reply is older than `maxAge`, otherwise the estimate.
+    /// The most tokens that the home can grant: the burst less pending requests if it has sent no reply within `maxAge`, otherwise the
+    /// estimate; 0 while it is in backoff.
     double upperBound(TimePoint now, Duration maxAge) const;
 
     /// Whether the last debit request to the home timed out. Such a home is asked last, and during its backoff not at all.
--- a/coordination/share_ledger.h
+++ b/coordination/share_ledger.h
@@ -22,10 +22,12 @@
 struct ShareOptions
 {
     Duration debitLifetime = std::chrono::milliseconds(150); ///< A debit is used within this time after it was requested, or never.
-    Duration growDelay = std::chrono::seconds(3); ///< The freshness window; raised to `debitLifetime` if less.
+    /// Shares grow this long after a version is in force. The freshness window: the time for which a host counts as fresh once its
+    /// configuration is confirmed. Raised to `debitLifetime` if less.
+    Duration growDelay = std::chrono::seconds(3);
     Duration roundTimeout = std::chrono::milliseconds(50); ///< Timeout for the replies of one round.
     Duration gatherTimeout = std::chrono::milliseconds(150); ///< Timeout for all rounds of one request; lowered to `debitLifetime` if more.
-    Duration maxEstimateAge = std::chrono::milliseconds(250); ///< Homes are not asked for more than the estimate from a reply younger than this.
+    Duration maxEstimateAge = std::chrono::milliseconds(250); ///< A reply younger than this limits the amount requested from its home to the estimate.
     Duration homeBackoff = std::chrono::milliseconds(250); ///< How long a home is not asked after its first timeout.
     Duration recordLifetime = std::chrono::minutes(10); ///< A debit settled later than this gets no refund.
     std::size_t maxPending = 10'000; ///< Requests that wait for replies at once; each takes about 500 bytes.
@@ -48,8 +50,13 @@
     std::vector<DebitRequest> debitRequests;
     std::vector<DebitSettlement> settlements; ///< To be sent with any verdict.
     TimePoint deadline; ///< With Pending.
-    Reason reason; ///< With Refuse: OverRate, ExceedsBurst, PeerUnreachable, NotFresh, UnknownKey, Overloaded, CallerGone.
-    Duration retryAfter{}; ///< With Refuse, except ExceedsBurst and UnknownKey: time until the request would pass if no other came.
+    /// With Refuse: OverRate, ExceedsBurst, PeerUnreachable (homes that hold a needed part of the burst do not reply), NotFresh,
+    /// UnknownKey (the team is unknown or has no homes), Overloaded (too many pending requests, or the request id is in use) or
+    /// CallerGone.
+    Reason reason;
+    /// With Refuse. OverRate: time until the request would pass if no other came, or `growDelay` if the cost exceeds the burst until
+    /// shares grow. ExceedsBurst and UnknownKey: zero. Otherwise a fixed delay.
+    Duration retryAfter{};
 };
 
 /// Distributed rate limiter: the ledger of one host, which together with those of the other hosts keeps each team within its
@@ -66,7 +73,8 @@
 {
 public:
     /// `incarnation` must differ from that of every earlier process on this host. The buckets start empty, and their refill
-    /// starts after one debit lifetime, when the debits that the previous process granted have expired.
+    /// starts after one debit lifetime, when the debits that the previous process granted have expired. The ledger is not fresh
+    /// until the first setFreshUntil().
     ShareLedger(std::string host, std::string incarnation, TimePoint now, ShareOptions options = {});
 
     /// Applies the next version of hosts and teams; versions must be passed in order. `isInForce` tells whether the first version
@@ -84,27 +92,30 @@
     ShareDecision admit(std::string_view team, double cost, std::uint64_t requestId, TimePoint now);
 
     /// Handles a request to this home: debits the available tokens, up to the amount. A duplicate request gets the same grant without
-    /// a new debit.
+    /// a new debit. Grants nothing if this host is not fresh, the team is unknown, the request is for another host, its amount is not
+    /// finite, or `maxRecords` is reached.
     DebitReply onDebitRequest(const DebitRequest &request, TimePoint now);
 
     /// Handles the reply of a home. Tokens of a late reply are returned to the home.
     ShareDecision onDebitReply(const DebitReply &reply, TimePoint now);
 
     /// Handles the deadline of a Pending decision. Homes that did not reply are put into backoff. Does nothing before the newest
-    /// deadline of the request, so that timers of earlier rounds need not be canceled.
+    /// deadline of the request, so that timers of earlier rounds need not be cancelled.
     ShareDecision onTimeout(std::uint64_t requestId, TimePoint now);
 
-    /// Cancels a pending request whose caller is gone, and returns the tokens collected for it.
+    /// Cancels a pending request whose caller is gone, and returns the tokens collected for it. Does nothing for an unknown or an
+    /// admitted request; the latter must be settled.
     ShareDecision cancel(std::uint64_t requestId, TimePoint now);
 
     /// Settles the charge of an admitted request at `used` tokens. Unused tokens are refunded to the buckets from which they came;
-    /// an excess is charged there as a debt. Returns the messages to send. Does nothing if the charge is already settled.
+    /// an excess is charged there as a debt. `used` must be finite; a negative value counts as 0. Returns the messages to send. Does
+    /// nothing if the charge is already settled.
     std::vector<DebitSettlement> settle(std::uint64_t requestId, double used, TimePoint now);
 
     /// Handles the settlement of a debit at this home. Duplicate, late and unknown settlements are ignored.
     void onSettlement(const DebitSettlement &settlement, TimePoint now);
 
-    /// Tokens of a team in the bucket of this host; 0 if it is not a home of the team.
+    /// Tokens of a team in the bucket of this host, negative while a debt is being paid off; 0 if it is not a home of the team.
     double balance(std::string_view team, TimePoint now);
 
 private:
--- a/coordination/share_split.cpp
+++ b/coordination/share_split.cpp
@@ -26,7 +26,7 @@
 std::vector<std::string> homesOf(std::string_view team, std::span<const std::string> hosts)
 {
     std::vector<std::string> homes(hosts.begin(), hosts.end());
-    if (homes.size() > maxHostsAllHomes) {
+    if (homes.size() > maxHostsForAllHomes) {
         const std::uint64_t seed = XXH3_64bits(team.data(), team.size());
         std::vector<std::pair<std::uint64_t, std::string>> ranked;
         for (std::string &host : homes) {
--- a/coordination/share_split.h
+++ b/coordination/share_split.h
@@ -31,14 +31,15 @@
 ShareConfiguration makeShareConfiguration(std::int64_t version, const ConfigurationState &state);
 
 /// Up to this many hosts, each host is a home of every team, so that most requests find enough tokens on the host where they arrive.
-constexpr std::size_t maxHostsAllHomes = 12;
+constexpr std::size_t maxHostsForAllHomes = 12;
 
 /// Homes of each team in a larger fleet. With fewer homes the loss of one would cost a team much of its rate; with more its
 /// burst would be split so finely that most requests would have to collect tokens from several homes.
 constexpr std::size_t homesInLargeFleet = 8;
 
 /// The hosts among which a team's rate and burst are split equally, ascending by name: all hosts in a small fleet, otherwise
-/// the highest ranked by rendezvous hashing, so that a host that joins or leaves changes at most one home.
+/// the highest ranked by rendezvous hashing, so that a host that joins or leaves a large fleet changes at most one home. When the
+/// number of hosts crosses maxHostsForAllHomes, the homes of most teams change.
 std::vector<std::string> homesOf(std::string_view team, std::span<const std::string> hosts);
 
 } // namespace Lovageloft
--- a/decision/admission_queue.cpp
+++ b/decision/admission_queue.cpp
@@ -293,14 +293,14 @@
 Duration AdmissionQueue::expectedWait(const Offer &offer, std::int64_t extra)
 {
     const Duration byBacklog = extra == 0 ? offer.backlogWait : backlogWait(offer, extra);
-    const auto toEarn = static_cast<double>(offer.model.queue.tokensToEarn(offer.request, extra));
-    if (toEarn <= 0 || byBacklog <= Duration::zero()) {
+    const auto tokensToCredit = static_cast<double>(offer.model.queue.tokensToCredit(offer.request, extra));
+    if (tokensToCredit <= 0 || byBacklog <= Duration::zero()) {
         return byBacklog;
     }
     const double rate = offer.model.estimate.rate();
-    const double prior = toEarn / (toSeconds(byBacklog) * rate);
+    const double prior = tokensToCredit / (toSeconds(byBacklog) * rate);
     const double share = offer.model.queue.shareOf(offer.request, prior, backlogWeightSeconds * rate, shareDecaySeconds * rate);
-    return std::clamp(fromSeconds(toEarn / (share * rate)), byBacklog, scaled(byBacklog, maxShareCorrection));
+    return std::clamp(fromSeconds(tokensToCredit / (share * rate)), byBacklog, scaled(byBacklog, maxShareCorrection));
 }
 
 void AdmissionQueue::onRequestRemoved(ModelQueue &model, TimePoint now)
--- a/decision/admission_queue.h
+++ b/decision/admission_queue.h
@@ -19,10 +19,10 @@
 /// Limits of an admission queue; docs/design/queueing.md explains them.
 struct QueueLimits
 {
-    Duration maxWait = std::chrono::seconds(10); ///< A request expected to wait longer is refused, whatever its deadline.
+    Duration maxWait = std::chrono::seconds(10); ///< A request expected to wait longer is refused, whatever its deadline; see AdmissionQueue::offer.
     std::size_t maxRequests = 100'000; ///< Limits memory: about 250 bytes per request, so 25 MB of a host's 256 MB.
-    std::int64_t maxShortCost = 1'000; ///< In tokens; costlier requests count as long. One cache block.
-    std::int64_t quantum = 1'000; ///< Tokens credited to a team per round: one cache block, the smallest unit of work of an engine.
+    std::int64_t maxShortCost = 1'000; ///< In tokens; costlier requests count as long. About one cache block.
+    std::int64_t quantum = 1'000; ///< Tokens credited to a team per round: about one cache block, the smallest unit of work of an engine.
     double initialRate = 20'000; ///< Service rate of a model in tokens per second, assumed until it has been measured under a backlog.
 };
 
@@ -32,7 +32,9 @@
     bool isAdmitted = false;
     Duration expectedWait{}; ///< Until the request is dispatched to an engine, estimated from the current backlog.
     Reason reason; ///< Why the request was refused.
-    Duration retryAfter{}; ///< For a refused request: whole seconds, at least one. A caller that retries then is expected to be served.
+    /// For a refused request: whole seconds, at least one. Capacity is reserved for a retry at that time, which is then expected to be
+    /// served. There is no reservation with Draining and InvalidField (1 s) or if ReservationBook::reserve made none (10 minutes).
+    Duration retryAfter{};
 };
 
 /// A request whose deadline passed while it waited. Its caller is answered at once, with `not_run`.
@@ -52,7 +54,8 @@
 class AdmissionQueue
 {
 public:
-    /// Returns whether some engine of the request's model has room for it in its window now.
+    /// Returns whether the request can leave the queue now: some engine of its model has room for it in its window, or the caller of
+    /// `next` will refuse it because no engine can serve it.
     using CanDispatch = std::function<bool(const QueuedRequest &)>;
 
     explicit AdmissionQueue(const QueueLimits &limits = {});
@@ -61,12 +64,15 @@
     /// to [0.01, 100].
     void setWeight(TeamId team, double weight);
 
-    /// Scales the service rate of a model after its engines changed. `factor` is (engines now) / (engines before) and must be above 0.
+    /// Scales the service rate of a model after its engines changed. `factor` is (engines now) / (engines before), clamped to
+    /// [0.01, 100].
     void scaleCapacity(ModelId model, double factor);
 
     /// Queues a request, or refuses it with Draining, InvalidField (the id is queued already), Overloaded (the team has too many
-    /// queued requests), QueueFull (expected wait too close to QueueLimits::maxWait) or DeadlineWouldPass. A deadline further away
-    /// than QueueLimits::maxWait is brought forward to it.
+    /// queued requests), or because of the expected wait with DeadlineWouldPass if its deadline is nearer than QueueLimits::maxWait,
+    /// otherwise with QueueFull. A retry at its reserved time may use all of the time until the nearer of both. A new request may use
+    /// 70% of it, counting reserved retries that are due, or 30% without counting these. A deadline further away than
+    /// QueueLimits::maxWait is brought forward to it.
     AdmissionDecision offer(const QueuedRequest &request, TimePoint now);
 
     /// Removes and returns the request to dispatch now; nothing if none waits or `canDispatch` returns false for the next
--- a/decision/dispatch_table.h
+++ b/decision/dispatch_table.h
@@ -30,10 +30,10 @@
 class DispatchTable
 {
 public:
-    /// Adds a request and returns its new id.
+    /// Adds a request and returns its new id; `dispatch.id` is ignored.
     DispatchId open(const Dispatch &dispatch);
 
-    /// Null if the request has ended or never existed.
+    /// Null if the request has ended or never existed. The pointer is valid until the next open() or close().
     Dispatch *find(DispatchId id);
     const Dispatch *find(DispatchId id) const;
 
--- a/decision/fair_queue.cpp
+++ b/decision/fair_queue.cpp
@@ -127,7 +127,7 @@
     return ahead;
 }
 
-std::int64_t FairQueue::tokensToEarn(const QueuedRequest &request, std::int64_t extra) const
+std::int64_t FairQueue::tokensToCredit(const QueuedRequest &request, std::int64_t extra) const
 {
     const Lane *lane = findLane(request);
     const std::int64_t credit = lane ? countersOf(*lane).credit : 0;
@@ -332,9 +332,9 @@
     const std::array<std::int64_t, laneCount> quanta = {counters.quantumOf(LaneKind::Short), counters.quantumOf(LaneKind::Long)};
     for (std::size_t index = 0; index < laneCount; ++index) {
         LaneCounters &lane = counters.lanes[index];
-        const std::int64_t earned = lane.needsTokens() ? rounds * quanta[index] : 0;
-        lane.credit += earned;
-        flow.lanes[index].share.onEarned(isContended_ ? earned : 0);
+        const std::int64_t credited = lane.needsTokens() ? rounds * quanta[index] : 0;
+        lane.credit += credited;
+        flow.lanes[index].share.onCredited(isContended_ ? credited : 0);
     }
     for (Lane &lane : flow.lanes) {
         updateLane(lane);
--- a/decision/fair_queue.h
+++ b/decision/fair_queue.h
@@ -40,9 +40,9 @@
 /// turn and paid for afterwards instead of waiting until enough credit has accumulated.
 ///
 /// Each team has two lanes with separate credit. Short requests whose lane has credit go ahead of all long requests. This is
-/// limited, since both lanes are paid from the team's quantum: while the other lane needs tokens too, each gets half. Long requests
-/// are interleaved with short ones, which are served as many tokens as their lanes are credited meanwhile; a long request of a team
-/// that was idle before does not wait for these.
+/// limited, since both lanes are paid from the team's quantum: while the other lane needs tokens too, each gets half. After a long
+/// request, the short lanes are served as many tokens as they are credited while the long lanes are credited its cost; a long request
+/// of a team that was idle before does not wait for these.
 class FairQueue
 {
 public:
@@ -66,7 +66,7 @@
     /// Removes a request that will not be served, without a charge.
     void erase(QueueEntry &entry);
 
-    /// The request that `pop` would return; null if none is queued.
+    /// The request that `pop` would return; null if none is queued. May credit lanes to find it.
     const QueueEntry *peek();
 
     /// Removes the request to serve next and charges its lane; null if none is queued.
@@ -81,7 +81,7 @@
 
     /// Tokens that must be credited to the request's lane before the request is served behind `extra` further tokens of the lane;
     /// 0 if the credit is sufficient now.
-    std::int64_t tokensToEarn(const QueuedRequest &request, std::int64_t extra) const;
+    std::int64_t tokensToCredit(const QueuedRequest &request, std::int64_t extra) const;
 
     /// Share of the service that the request's lane gets, as tokens credited to the lane per token served, measured while contended.
     /// `prior` is the assumed share, with the weight of `priorTokens` served tokens; measurements decay over `decayTokens` tokens.
@@ -123,10 +123,10 @@
             return std::max<std::int64_t>(0, backlog - credit);
         }
 
-        /// Tokens that can be served after `gained` tokens have been credited.
-        std::int64_t servedAfter(std::int64_t gained) const
+        /// Tokens that can be served after `credited` more tokens have been credited.
+        std::int64_t servedAfter(std::int64_t credited) const
         {
-            const std::int64_t balance = credit + gained;
+            const std::int64_t balance = credit + credited;
             return balance < 0 ? 0 : std::min(backlog, balance + headCost);
         }
     };
@@ -171,7 +171,7 @@
         bool wasIdle = false; ///< The team had neither queued requests nor negative credit before the requests that wait now.
     };
 
-    /// One team. Linked into the round while it has queued requests or a lane with negative credit.
+    /// The lanes of one team. Linked into the round while it has queued requests or a lane with negative credit.
     struct Flow : boost::intrusive::list_base_hook<>
     {
         std::size_t index = 0; ///< Index into flowCounters_.
--- a/decision/id_table.h
+++ b/decision/id_table.h
@@ -28,7 +28,7 @@
         return id;
     }
 
-    /// Returns the name of an id from this table.
+    /// Returns the name of an id from this table; throws std::out_of_range for any other id.
     std::string_view nameOf(Id id) const
     {
         return names_.at(static_cast<std::size_t>(id));
--- a/decision/prompt_parts.h
+++ b/decision/prompt_parts.h
@@ -20,9 +20,13 @@
 /// fill a whole block. With blocks of 1,024 tokens engines recomputed such parts for each request.
 inline constexpr std::uint32_t partBlockTokens = 256;
 
-/// Replaces `digests` by the digests of the full blocks in `parts`, as digestBlocks does for a text. A block across the border of
-/// two parts is derived from the later part, so that only prompts with both parts share it. Pass only parts that other prompts may
-/// share: placement hashes the last blocks of a prompt, and with a part unique to one prompt it would choose an arbitrary engine.
+/// Replaces `digests` by the digests of the full blocks in `parts`, as digestBlocks does for a text: up to maxPrefixChainBlocks, and
+/// without the tokens after the last full block. A digest consists of the index of the block and the hash of the part in which the
+/// block ends, so that a block across the border of two parts is shared only by prompts with the later part at this place. An
+/// earlier part that fills no block of its own is not distinguished.
+///
+/// Pass only parts that other prompts may share: placement hashes the last blocks of a prompt, and with a part unique to one prompt
+/// it would choose an arbitrary engine.
 void digestParts(std::span<const PromptPart> parts, std::vector<BlockHash> &digests);
 
 } // namespace Lovageloft
--- a/decision/queued_request.h
+++ b/decision/queued_request.h
@@ -42,7 +42,7 @@
     KeyId key{};
     ModelId model{};
     Priority priority = Priority::Normal;
-    std::int64_t cost = 1; ///< Estimated prompt tokens that are not cached plus output tokens; clamped to [1, 4,194,304].
+    std::int64_t cost = 1; ///< Estimated uncached prompt tokens plus output tokens; AdmissionQueue::offer clamps it to [1, 4,194,304].
     TimePoint deadline; ///< The request must be dispatched to an engine before this time.
     std::uint64_t fingerprint = 0; ///< Digest of key and body that identifies a retry; 0 if unknown.
     bool isRetry = false; ///< Whether the caller states that this or another host refused it before.
--- a/decision/request_scheduler.cpp
+++ b/decision/request_scheduler.cpp
@@ -345,7 +345,7 @@
     const auto entry = inFlight_.find(id);
     const Engine *current = entry != inFlight_.end() ? engineOf(entry->second) : nullptr;
     if (current == nullptr) {
-        return true; // The engine was removed from the list and no answer is expected from it.
+        return true; // The engine was removed from the list, so no answer is expected from it, or the request has ended.
     }
     return budgetOf(current->model).canRetry(now) && std::any_of(engines_.begin(), engines_.end(), [&](const auto &item) {
                const Engine &engine = item.second;
--- a/decision/request_scheduler.h
+++ b/decision/request_scheduler.h
@@ -46,12 +46,12 @@
     Priority priority = Priority::Normal;
     std::vector<BlockHash> blockDigests; ///< From digestBlocks, or from digestParts for the parts that other prompts may share.
     std::uint32_t promptTokens = 0;
-    std::uint32_t outputTokens = 0;
+    std::uint32_t outputTokens = 0; ///< Maximum number of tokens that may be generated.
     std::size_t bytes = 0; ///< Size of the request and its answer.
     TimePoint deadline;
     std::vector<std::string> failedEngines; ///< Engines to exclude, in a retry by the router; empty for the first attempt.
     bool reachedTarget = true; ///< False if no earlier target received the request: such a retry adds no load and isn't counted against the retry budget.
-    bool isResume = false; ///< Whether the caller has received part of the answer already.
+    bool isResume = false; ///< Whether the caller has received part of the answer already; the retry is then not limited by the retry budget.
     std::uint64_t fingerprint = 0; ///< Digest of key and body that identifies a retry by the caller; 0 if unknown.
     bool isRetry = false; ///< Whether the caller states that the request was refused before.
 };
@@ -63,7 +63,7 @@
     std::string engine;
     std::uint32_t expectedCachedTokens = 0;
     double expectedFirstTokenSeconds = 0; ///< Seconds from now.
-    std::uint32_t workTokens = 0; ///< Work of the engine, expressed as the number of prompt tokens of a short prompt.
+    std::uint32_t workTokens = 0; ///< Work that the request adds, as the length in tokens of an uncached short prompt that takes as long to compute.
     std::uint32_t newTokens = 0; ///< Tokens that the request adds to the engine's cache.
     std::vector<BlockHash> blocks; ///< Block hashes of the prompt for this engine's weights.
     std::string holder; ///< Another engine that is expected to hold more of the prompt in its cache; empty if there is none.
@@ -74,7 +74,7 @@
 {
     RequestId id{};
     Reason reason;
-    Duration retryAfter{};
+    Duration retryAfter{}; ///< Zero with KeyWithdrawn.
 };
 
 using SchedulerOutcome = std::variant<SchedulerAssignment, SchedulerRefusal>;
@@ -109,7 +109,8 @@
     /// Sets the limits of the retry budget that each model has.
     void setRetryLimits(const RetryBudget::Limits &limits);
 
-    /// Queues a request; returns a refusal if it is refused at once.
+    /// Queues a request; returns a refusal if it is refused at once, with RetryBudgetSpent or a code of AdmissionQueue::offer. The id
+    /// must not be that of a queued request.
     std::optional<SchedulerRefusal> submit(SchedulerRequest request, TimePoint now);
 
     /// Removes a queued request whose caller disconnected.
@@ -118,7 +119,8 @@
     /// Removes the queued requests of a withdrawn key and refuses each with KeyWithdrawn.
     std::vector<SchedulerOutcome> withdrawKey(std::string_view team, std::string_view keyId, TimePoint now);
 
-    /// Refuses expired requests and assigns those that can be dispatched now. Call it after every other change and at `nextDeadline`.
+    /// Refuses expired requests with DeadlineWouldPass and those that no engine will serve with NoTarget; assigns those that can be
+    /// dispatched now. Call it after every other change and at `nextDeadline`.
     std::vector<SchedulerOutcome> decide(TimePoint now, Random &random);
 
     /// When to call `decide` next if nothing else changes.
@@ -133,15 +135,17 @@
     /// Records the first token; `cachedTokens` is the engine's own count if the answer contains one.
     void onFirstToken(RequestId id, std::optional<std::uint32_t> cachedTokens, TimePoint now);
 
-    /// Records the end of a dispatched request. Unknown and repeated ids are ignored here and below.
+    /// Records the end of a dispatched request. Ids that are unknown or have ended are ignored here, in onFirstToken() and in onStalled().
     void onEnded(RequestId id, DispatchResult end, TimePoint now);
 
     /// Whether a dispatched request could be retried at another engine now: one has room in its window and the retry budget allows it.
+    /// Also true if the request is unknown or has ended, or if its engine was removed.
     bool canRetryElsewhere(RequestId id, TimePoint now);
 
-    /// Shrinks the window of an engine that has sent nothing for too long for a request that stays there: it is overloaded.
+    /// Records that a dispatched request has waited too long and is left at its engine: shrinks the window, as the engine is overloaded.
     void onStalled(RequestId id, TimePoint now);
 
+    /// The reports of an engine are passed on to Placement; those of engines that are not listed are ignored.
     void onLoadReport(std::string_view engine, const LoadReport &report, TimePoint now);
     void onCacheEvents(std::string_view engine, std::uint64_t incarnation, std::uint64_t firstSequence, std::span<const CacheEvent> events);
     void onCacheResync(std::string_view engine, std::uint64_t incarnation, std::uint64_t nextSequence, std::span<const BlockHash> blocks);
--- a/decision/reservation_book.h
+++ b/decision/reservation_book.h
@@ -17,14 +17,14 @@
 class ReservationBook
 {
 public:
-    /// Reserves capacity for a request of `cost` tokens, not before `earliest`. `duration` is the time that the team's share takes to
-    /// serve it. Returns the time until the caller should retry, in whole seconds as required by the Retry-After header. A
-    /// fingerprint whose reservation is not due yet keeps it. If the book is full or the wait would exceed 10 minutes, returns
-    /// 10 minutes without a reservation.
+    /// Reserves capacity for a request of `cost` tokens, not before `earliest` and not before the reservations made earlier. `duration`
+    /// is the time that the team's share takes to serve it. Returns the time until the caller should retry, in whole seconds as
+    /// required by the Retry-After header. A fingerprint whose reservation is not due yet keeps it; 0 identifies no request. If the
+    /// book holds 4,096 reservations or the wait would exceed 10 minutes, returns 10 minutes without a reservation.
     Duration reserve(std::uint64_t fingerprint, std::int64_t cost, TimePoint earliest, Duration duration, TimePoint now);
 
-    /// Consumes the reservation of a request if it is due; false if there is none. A retry without a reservation was refused by
-    /// another host and consumes the oldest due one, since about as many callers refused by this host retry at other hosts.
+    /// Consumes the reservation of a request; false if it has none or it is not due. A retry without a reservation is assumed to have
+    /// been refused by another host and consumes the oldest due one, since about as many callers refused by this host retry at others.
     bool redeem(std::uint64_t fingerprint, bool isRetry, TimePoint now);
 
     /// Removes a reservation that is no longer needed, whether it is due or not.
--- a/decision/retry_budget.h
+++ b/decision/retry_budget.h
@@ -45,8 +45,8 @@
         std::uint64_t retries = 0;
     };
 
-    // Long enough that a burst of failures doesn't find an empty budget, short enough that quiet traffic a minute ago doesn't pay for
-    // a retry storm now.
+    // Long enough that a burst of failures doesn't find an empty budget, short enough that the requests of a minute ago don't
+    // allow a retry storm now.
     static constexpr std::size_t windowSeconds = 10;
 
     void advance(TimePoint now);
--- a/decision/service_share.cpp
+++ b/decision/service_share.cpp
@@ -7,7 +7,7 @@
 {
     // After a gap longer than what was measured, the competing load is likely to be a different one.
     if (epoch != epoch_ || served - lastServed_ > observedTokens_) {
-        earnedTokens_ = 0;
+        creditedTokens_ = 0;
         observedTokens_ = 0;
     }
     epoch_ = epoch;
@@ -15,9 +15,9 @@
     isActive_ = true;
 }
 
-void ServiceShare::onEarned(std::int64_t tokens)
+void ServiceShare::onCredited(std::int64_t tokens)
 {
-    earnedTokens_ += isActive_ ? static_cast<double>(tokens) : 0;
+    creditedTokens_ += isActive_ ? static_cast<double>(tokens) : 0;
 }
 
 void ServiceShare::end(double served)
@@ -35,10 +35,10 @@
 {
     advance(served);
     if (observedTokens_ > decayTokens) {
-        earnedTokens_ *= decayTokens / observedTokens_;
+        creditedTokens_ *= decayTokens / observedTokens_;
         observedTokens_ = decayTokens;
     }
-    return (earnedTokens_ + prior * priorTokens) / (observedTokens_ + priorTokens);
+    return (creditedTokens_ + prior * priorTokens) / (observedTokens_ + priorTokens);
 }
 
 void ServiceShare::advance(double served)
--- a/decision/service_share.h
+++ b/decision/service_share.h
@@ -14,12 +14,13 @@
 class ServiceShare
 {
 public:
-    /// Starts measuring, as the lane needs tokens from now on. `served` is the number of tokens served so far by all lanes. Earlier
-    /// measurements are discarded if `epoch` differs from the last one.
+    /// Starts measuring, as the lane needs tokens from now on. `served` is the number of tokens that all lanes were served so far
+    /// while contended; see FairQueue::setContended. Earlier measurements are discarded if `epoch` has changed, as by
+    /// FairQueue::resetShares, or if more tokens were served since end() than were measured before it.
     void begin(double served, std::uint64_t epoch);
 
     /// Tokens were credited to the lane. Ignored unless active.
-    void onEarned(std::int64_t tokens);
+    void onCredited(std::int64_t tokens);
 
     /// Stops measuring, as the lane needs no tokens any more.
     void end(double served);
@@ -34,7 +35,7 @@
 private:
     void advance(double served);
 
-    double earnedTokens_ = 0;
+    double creditedTokens_ = 0;
     double observedTokens_ = 0; ///< Tokens served by all lanes while this one was measured.
     double lastServed_ = 0; ///< Value of `served` up to which observedTokens_ is counted, or at which the lane became inactive.
     std::uint64_t epoch_ = 0;
--- a/decision/team_rate_limiter.h
+++ b/decision/team_rate_limiter.h
@@ -22,17 +22,18 @@
 
 /// Rate limiter with a token bucket for each team. Each host gives out its share of a team's limit.
 ///
-/// Prevents a team that sends several times its rate to all hosts from taking the targets from teams within their rate. The shares
-/// of all hosts add up to one at any time, so that the limit holds without messages between hosts, also while a host is
-/// partitioned. Not thread-safe; reads no clock.
+/// Prevents a team that sends several times its rate to all hosts from taking the targets from teams within their rate. The callers
+/// of setShare() must choose shares of all hosts that add up to at most one at any time. Then the limit holds without messages between
+/// hosts, also while a host is partitioned. Not thread-safe; reads no clock.
 class TeamRateLimiter
 {
 public:
-    /// What happens to a request that is larger than a full bucket. It could never run without a debt; but each of hundreds of hosts
-    /// with small buckets of their own would admit one such request.
+    /// What happens to a request that is larger than a full bucket.
     enum class LargeRequestPolicy : std::uint8_t
     {
-        AllowDebt, ///< Runs from a full bucket, which becomes negative.
+        /// Runs from a full bucket, which becomes negative. Otherwise such a request could never run.
+        AllowDebt,
+        /// Never runs. For hundreds of hosts with small buckets of their own, each of which would otherwise admit one such request.
         Refuse,
     };
 
@@ -45,7 +46,8 @@
     /// Sets the fraction of every limit that this host may give out, clamped to [0, 1].
     void setShare(double share, TimePoint now);
 
-    /// Consumes `tokens`; if the bucket holds too few, returns false, OverRate and the time until it would hold enough.
+    /// Consumes `tokens`; if the bucket holds too few, returns false, OverRate and the time until it would hold enough, or be full if
+    /// that is less, clamped to 1 ms to 10 s. Returns true for an unknown team and for a team without a limit.
     bool tryConsume(std::string_view team, double tokens, TimePoint now, Reason &reason, Duration &retryAfter);
 
     /// Fills a team's bucket to a fraction of its capacity and refills it from `since` on: until then another host gave out this share.
--- a/decision/wait_estimate.h
+++ b/decision/wait_estimate.h
@@ -28,17 +28,17 @@
     /// Requests wait and no engine can take one. Repeated calls only advance the time.
     void onBlocked(TimePoint now);
 
-    /// A request of `tokens` was dispatched to an engine.
+    /// A request of `tokens` was dispatched to an engine. Ignored unless blocked.
     void onDispatched(std::int64_t tokens, TimePoint now);
 
-    /// A request of `tokens` was queued again without having reached an engine.
+    /// A request of `tokens` was queued again without having reached an engine. Ignored unless blocked.
     void onRequeued(std::int64_t tokens);
 
     /// The queue is empty.
     void onEmptied(TimePoint now);
 
-    /// Scales the rate by `factor`, above 0, after the capacity changed, for example because an engine joined or was lost. Measuring
-    /// the change would take seconds in which too many or too few requests are admitted.
+    /// Scales the rate by `factor`, clamped to [0.01, 100], after the capacity changed, for example because an engine joined or was
+    /// lost. Measuring the change would take seconds in which too many or too few requests are admitted.
     void scale(double factor);
 
     /// Advances the time while blocked, so that the rate falls if nothing is dispatched.
--- a/tests/coordination/test_claim_runner.cpp
+++ b/tests/coordination/test_claim_runner.cpp
@@ -368,7 +368,7 @@
     BOOST_TEST(!paused->beginSend(read));
 }
 
-BOOST_AUTO_TEST_CASE(sendingAndCancelingAreMutuallyExclusive)
+BOOST_AUTO_TEST_CASE(sendingAndCancellingAreMutuallyExclusive)
 {
     // The thread of a request is about to send, with a time read earlier, while a peer's query arrives on another thread. If both
     // succeeded, the peer would take over the call and it would run twice.
--- a/tests/decision/test_admission_queue.cpp
+++ b/tests/decision/test_admission_queue.cpp
@@ -170,7 +170,7 @@
     BOOST_TEST(queue.expire(now + 10 * second).size() == waiting.size());
 }
 
-BOOST_AUTO_TEST_CASE(idsStandForNames)
+BOOST_AUTO_TEST_CASE(anIdMapsBackToItsName)
 {
     IdTable<TeamId> table;
     const TeamId first = table.idOf("ministry");
--- a/tests/decision/test_load_of_long_prompts.cpp
+++ b/tests/decision/test_load_of_long_prompts.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t hostCount = 8;
 constexpr std::size_t engineCount = 18;
 constexpr double tokensPerSecond = 90'000;
-constexpr std::uint32_t minAnnouncedTokens = 1'024; ///< Smaller requests are not announced to other hosts.
+constexpr std::uint32_t minAnnouncedTokens = 1'024; ///< Requests with less work are not announced to other hosts.
 
 struct Outcome
 {
--- a/tests/decision/test_request_scheduler.cpp
+++ b/tests/decision/test_request_scheduler.cpp
@@ -238,8 +238,8 @@
 
 BOOST_AUTO_TEST_CASE(cacheEstimatesAreKeptWhenEnginesJoin)
 {
-    // Engines are added while others have requests in flight. The cache estimates of the existing engines were moved incorrectly when
-    // the table grew, and the router crashed within seconds and broke its callers' connections.
+    // Engines are added while others have requests in flight. If the cache estimates of the existing engines are moved incorrectly when
+    // the table grows, the router crashes within seconds and breaks its callers' connections.
     QueueLimits limits;
     limits.initialRate = 1e9;
     RequestScheduler growing(limits);
--- a/tests/decision/test_wait_estimate.cpp
+++ b/tests/decision/test_wait_estimate.cpp
@@ -82,12 +82,12 @@
     double served = 0;
     for (int step = 0; step < 100; ++step) {
         served += 1'000;
-        share.onEarned(200);
+        share.onCredited(200);
         share.share(0.5, 1'000, served, 10'000);
     }
     BOOST_TEST(share.share(0.5, 1'000, served, 10'000) == 0.23, boost::test_tools::tolerance(0.02));
     share.end(served);
-    share.onEarned(5'000);
+    share.onCredited(5'000);
     share.begin(served + 9'000, 1);
     BOOST_TEST(share.share(0.5, 1'000, served + 9'000, 10'000) == 0.23, boost::test_tools::tolerance(0.02));
     share.end(served + 9'000);
