--- a/gateway/cache_store_duty.cpp
+++ b/gateway/cache_store_duty.cpp
@@ -31,7 +31,7 @@
 void CacheStoreDuty::setStores(const std::vector<CacheStore> &stores)
 {
     const std::lock_guard lock(mutex_);
-    stores_ = stores;
+    cacheStores_ = stores;
 }
 
 void CacheStoreDuty::run()
@@ -40,12 +40,12 @@
         std::vector<CacheStore> stores;
         if (store_.isRelay()) {
             const std::lock_guard lock(mutex_);
-            stores = stores_;
+            stores = cacheStores_;
         }
         for (const CacheStore &store : stores) {
             gateway_.post([address = store.address, alive = isAlive(store.address)](Gateway &gateway) { gateway.fleet().announceCacheStore(address, alive); });
         }
-        pause(pollInterval);
+        sleepFor(pollInterval);
     }
 }
 
--- a/gateway/cache_store_duty.h
+++ b/gateway/cache_store_duty.h
@@ -17,14 +17,15 @@
 
 class Gateway;
 
-/// Health checks of the cache stores. Runs on the relays of the fleet, which announce the results to the other hosts. The stores have no
-/// entries of their own that would show their state, and engines that fetch from a dead one wait for it.
+/// Health checks of the cache stores. Runs on every host, but only the relays of the fleet check; they announce the results to the other
+/// hosts. The cache stores have no entries of their own that would show their state, and engines that fetch from an unreachable one wait for
+/// it.
 class CacheStoreDuty final : public Duty
 {
 public:
     CacheStoreDuty(Gateway &gateway, const RelayedStore &store, const EngineControlFormat &format);
 
-    /// Sets the stores of the newest configuration. Thread-safe.
+    /// Sets the cache stores of the newest configuration. Thread-safe.
     void setStores(const std::vector<CacheStore> &stores);
 
 private:
@@ -35,7 +36,7 @@
     const RelayedStore &store_;
     const EngineControlFormat &format_;
     std::mutex mutex_;
-    std::vector<CacheStore> stores_;
+    std::vector<CacheStore> cacheStores_;
     std::map<std::string, std::unique_ptr<HttpConnection>> connections_; ///< By address; used only by the duty's thread.
 };
 
--- a/gateway/configuration_duty.cpp
+++ b/gateway/configuration_duty.cpp
@@ -33,7 +33,7 @@
         if (isOk) {
             backoff_.reset();
         } else {
-            pause(backoff_.nextDelay());
+            sleepFor(backoff_.nextDelay());
         }
     }
 }
--- a/gateway/crash_guard.h
+++ b/gateway/crash_guard.h
@@ -13,24 +13,24 @@
 
 /// Quarantines requests that crash their targets, across the fleet.
 ///
-/// Each crash is reported to two home hosts of the request, chosen by rendezvous hashing, so that one of them may be unreachable. A home that
-/// has counted enough crashes notifies all hosts. A host that missed the notification is notified again when it reports another crash. The
-/// host that saw the crashes also counts them itself, in case it reaches no home.
+/// Each crash is reported to two home hosts of the request, chosen by rendezvous hashing, so that one of them may be unreachable. A home host
+/// that has counted crashes of three different targets quarantines the request for 10 minutes and notifies all hosts. A host that missed the notification is
+/// notified again when it reports another crash. The host that saw the crashes also counts them itself, in case it reaches no home host.
 class CrashGuard
 {
 public:
     /// Sends messages to other hosts, and records quarantined requests for hosts that start later.
     struct Network
     {
-        std::function<void(const std::string &host, const CrashReport &)> report;
-        std::function<void(const std::string &host, RequestFingerprint)> notify;
-        std::function<void(RequestFingerprint)> broadcast;
-        std::function<void(RequestFingerprint)> record;
+        std::function<void(const std::string &host, const CrashReport &)> report; ///< Reports a crash to a home host.
+        std::function<void(const std::string &host, RequestFingerprint)> notify; ///< Tells one host that the request is quarantined.
+        std::function<void(RequestFingerprint)> broadcast; ///< Tells all hosts that the request is quarantined.
+        std::function<void(RequestFingerprint)> record; ///< Writes the quarantined request to the store.
     };
 
     CrashGuard(std::string host, Network network);
 
-    /// The hosts, including this one, that may be homes.
+    /// Sets the hosts that may be home hosts. This host need not be among them.
     void setHosts(const std::vector<std::string> &candidates);
 
     /// A target responded to the request, at least in part: it will not be reported or quarantined.
@@ -41,7 +41,7 @@
     /// A target that was executing the request was lost before it began to respond.
     void onTargetLost(const CrashReport &report, TimePoint now);
 
-    /// A home counts a crash that a host reported; `from` may be this host.
+    /// A home host counts a crash that a host reported; `from` may be this host.
     void onReport(const std::string &from, const CrashReport &report, TimePoint now);
 
     /// Another host or the store reports that the request is quarantined.
--- a/gateway/duty.cpp
+++ b/gateway/duty.cpp
@@ -30,7 +30,7 @@
     return isStopped_;
 }
 
-void Duty::pause(Duration duration)
+void Duty::sleepFor(Duration duration)
 {
     std::unique_lock lock(mutex_);
     stopping_.wait_for(lock, duration, [this] { return isStopped_; });
--- a/gateway/duty.h
+++ b/gateway/duty.h
@@ -18,10 +18,13 @@
     Duty &operator=(const Duty &) = delete;
     virtual ~Duty() = default;
 
+    /// Starts the thread. May be called once. stop() and join() must be called before the destruction.
     void start();
 
-    /// Signals the thread to end. `join` waits until it has, at most for the duration of one call to the store.
+    /// Signals the thread to end.
     void stop();
+
+    /// Waits until the thread has ended. This takes as long as its network calls in progress.
     void join();
 
 protected:
@@ -31,7 +34,7 @@
     bool isStopped() const;
 
     /// Sleeps for the given duration, or until the duty is stopped.
-    void pause(Duration duration);
+    void sleepFor(Duration duration);
 
 private:
     mutable std::mutex mutex_;
--- a/gateway/fleet_link.h
+++ b/gateway/fleet_link.h
@@ -28,6 +28,7 @@
 public:
     FleetLink(Gateway &gateway, std::string hostName);
 
+    /// Binds the UDP socket. Returns false and sets `reason` on failure.
     bool open(const HostAddress &address, Reason &reason);
     void close();
 
@@ -43,10 +44,13 @@
     /// Sets the hosts of the fleet including this one, and this host's share, from 0 to 1, of limits that are divided evenly.
     void setHosts(const std::map<std::string, HostRecord> &hosts, double share);
 
+    /// Sets the rate limits of all teams.
     void setLimits(std::span<const TeamLimit> limits);
 
     /// Consumes tokens of a team's rate limit; `handler` is called immediately or within a few round trips.
     void acquireTokens(std::string_view team, double tokens, TeamBudget::DecisionHandler handler);
+
+    /// Returns consumed tokens to the team's rate limit.
     void refundTokens(std::string_view team, double tokens);
 
     /// Announces that a request was sent to an engine; does nothing below `minAnnouncedTokens`.
@@ -65,13 +69,13 @@
     CrashGuard &crashes();
     const CrashGuard &crashes() const;
 
-    /// Asks a few hosts how long ago the weights that this host found at startup were published.
+    /// Asks a few hosts for the publication times that they know, for weights that this host found at startup or saw late.
     void queryWeightsAges();
 
     /// Asks a few hosts for the revision and version of the configuration that they use.
     void queryProofs();
 
-    /// On a relay, calls RelayedStore::sendHeartbeat() at a fixed interval. Called periodically.
+    /// On a relay, calls RelayedStore::sendHeartbeat() at a fixed interval. Must be called more often than that.
     void sendHeartbeat(TimePoint now);
 
 private:
--- a/gateway/gateway_settings.h
+++ b/gateway/gateway_settings.h
@@ -21,10 +21,10 @@
     HostCapacity capacity;
     Duration keyProofWindow{}; ///< Time within which a withdrawn key must stop working.
     Duration configurationWindow{}; ///< Time within which a configuration change must be in force.
-    Duration weightsDeadline{}; ///< Time within which new weights must serve all new requests.
+    Duration weightsDeadline{}; ///< Time after the publication of weights from which no request may begin on older ones.
     Duration leaderLease{};
     Duration shutdownTimeout{}; ///< From the stop signal until the process is killed.
-    bool enginesCheckFencing = true;
+    bool enginesCheckFencing = true; ///< Engines reject orders with an older fencing token than they have seen; otherwise a new leader waits first.
     double retryRatio = 0.1; ///< Retries per request, over all hosts.
     double retrySlack = 0; ///< Additional retries within ten seconds, over all hosts.
     double quotaOver = 0; ///< Fraction of a team's limit by which the limit may be exceeded.
--- a/gateway/host_duty.cpp
+++ b/gateway/host_duty.cpp
@@ -47,9 +47,9 @@
     while (!isStopped()) {
         if (step()) {
             backoff_.reset();
-            pause(watchInterval);
+            sleepFor(watchInterval);
         } else {
-            pause(backoff_.nextDelay());
+            sleepFor(backoff_.nextDelay());
         }
     }
     if (leaseId_ != 0) {
--- a/gateway/host_duty.h
+++ b/gateway/host_duty.h
@@ -19,10 +19,11 @@
 class Gateway;
 
 /// Keeps this host's key in the store under a lease, counts the hosts, and derives this host's share of the teams' rate limits.
+/// Also reads the leader, the quarantined requests and, at startup, the recent weights.
 ///
-/// The shares must not add up to more than one, even while some hosts are partitioned from the store. A host counts while its lease is
-/// valid, and stops serving keyed requests before the lease can expire, because the lease outlives the configuration proof that these
-/// requests need. So a host that is no longer counted consumes none of the rate.
+/// The share is 1 divided by the number of hosts. The shares must not add up to more than one, even while some hosts are partitioned from
+/// the store. A host counts while its lease is valid. Requests with an API key need a configuration proof, and the proof expires before the
+/// lease. So a host that is no longer counted serves no such requests and consumes none of the rate.
 class HostDuty final : public Duty
 {
 public:
@@ -38,7 +39,7 @@
         std::string leaderKey; ///< Key of the leader lease, within `prefix`.
         /// Called on the duty's thread with the host that holds `leaderKey`; empty if there is none.
         std::function<void(const std::string &host)> onLeader;
-        /// Called on the duty's thread with the hosts that may get fleet-wide duties, and the total number of hosts.
+        /// Called on the duty's thread with the hosts that may get fleet-wide tasks, and the total number of hosts.
         std::function<void(const std::vector<std::string> &candidates, std::size_t hosts)> onHosts;
         /// Called on the duty's thread with each quarantined request that the store holds.
         std::function<void(RequestFingerprint)> onQuarantined = [](RequestFingerprint) {};
@@ -46,7 +47,8 @@
 
     HostDuty(Store &store, Gateway &gateway, Options options);
 
-    /// Writes a quarantined request to the store for hosts that start later. Thread-safe.
+    /// Queues a quarantined request to be written to the store for hosts that start later. Its key expires after 10 minutes. Does nothing
+    /// while 256 requests are queued, or if `quarantinePrefix` is empty. Thread-safe.
     void recordQuarantine(RequestFingerprint request);
 
 private:
--- a/gateway/pause_detector.h
+++ b/gateway/pause_detector.h
@@ -9,15 +9,15 @@
 
 /// Detects pauses of the whole process: the machine was frozen or the process got no CPU time.
 ///
-/// Without it, a host takes messages that it reads after a pause for current ones. Nothing else in the log shows the pause, and actions that
-/// come seconds late because of it look like logic errors. For use on the event loop only.
+/// Without it, a host takes messages that it reads after a pause for current ones. tick() logs each pause of more than 500 ms: nothing else
+/// in the log shows it, and actions that come seconds late because of it look like logic errors. For use on the event loop only.
 class PauseDetector
 {
 public:
-    /// Must be called a few times a second.
+    /// Must be called every 250 ms.
     void tick(TimePoint now);
 
-    /// If a pause ends now or ended a moment ago, the time since it began; otherwise zero. Pauses in quick succession count as one.
+    /// If a pause ends now or ended less than 500 ms ago, the time since it began; otherwise zero. Pauses in quick succession count as one.
     Duration recentPause(TimePoint now) const;
 
 private:
--- a/gateway/prefix_state.h
+++ b/gateway/prefix_state.h
@@ -16,18 +16,20 @@
 /// What a host knows about one prefix of the store, from notices of other hosts or from the store itself.
 struct PrefixState
 {
-    std::int64_t syncedRevision = 0; ///< All changes up to this revision have been received.
-    std::int64_t lastChangeRevision = 0; ///< Nothing changed between this revision and `syncedRevision`, also according to notices of the other relay.
+    std::int64_t syncedRevision = 0; ///< All changes up to this revision have been received; 0 before the first list.
+    std::int64_t lastChangeRevision = 0; ///< Revision of the last change known, also from notices; nothing changed from it up to `syncedRevision`.
     std::int64_t requiredRevision = 0; ///< Other hosts have this revision; it is above `syncedRevision` if changes were missed.
     bool areRelaysSilent = false; ///< Whether no relay has sent anything about this prefix for too long.
-    bool hasOpenWatch = false; ///< Whether a watch of this host is pending at the store.
-    TimePoint lastHeardAt; ///< When a relay last sent a notice, or until when another host confirmed that `syncedRevision` was current.
+    bool hasOpenWatch = false; ///< Whether a watch of this host is pending at the store; on a relay also between successful watches.
+    /// Until when this host has received all changes: the time of the last notice of a relay or own list, on a relay also of the last own watch,
+    /// or the time up to which another host confirmed that `syncedRevision` was current.
+    TimePoint lastHeardAt;
     TimePoint lastReadAt; ///< When the store last answered a list or watch of this host.
     std::optional<TimePoint> behindSince; ///< Since when changes or heartbeats have been missing.
     TimePoint storeCallAllowedAt; ///< While behind: when the store may be called.
     TimePoint nextPeerQueryAt; ///< While behind: when other hosts may be queried again.
-    std::optional<Duration> outage; ///< How long the store had answered nobody before the pending entries; nothing if unknown.
-    Duration silence{}; ///< For how long before their arrival this host could not have received the pending entries.
+    std::optional<Duration> outage; ///< For how long before the pending entries the store had answered no call; nothing if unknown.
+    Duration silence{}; ///< For how long before the pending entries arrived this host could not have noticed a change.
     std::deque<std::pair<StoreEntry, bool>> pendingEntries; ///< Not returned to a caller yet; true: the value has to be read.
     ChangeLog log; ///< Changes to answer requests of other hosts with.
     std::map<std::string, std::int64_t, std::less<>> keyRevisions; ///< All existing keys, with the revision of their last write.
--- a/gateway/proof_duty.cpp
+++ b/gateway/proof_duty.cpp
@@ -30,9 +30,9 @@
     while (!isStopped()) {
         if (prove()) {
             backoff_.reset();
-            pause(window_ / proofsPerWindow);
+            sleepFor(window_ / proofsPerWindow);
         } else {
-            pause(backoff_.nextDelay());
+            sleepFor(backoff_.nextDelay());
         }
     }
 }
--- a/gateway/proof_duty.h
+++ b/gateway/proof_duty.h
@@ -24,7 +24,8 @@
     /// `window`: time within which a configuration change must be in force.
     ProofDuty(Store &store, const StoreRecords &records, ConfigurationFeed &feed, Duration window, Now now = &BootClock::now);
 
-    /// Makes one attempt. Returns false if it neither confirmed the configuration nor read a newer one. The duty calls this periodically.
+    /// Makes one attempt. Returns whether it confirmed the configuration or read another entry, even one that cannot be parsed. Returns false
+    /// before the first configuration. The duty calls this periodically.
     bool prove();
 
 private:
--- a/gateway/protocol.h
+++ b/gateway/protocol.h
@@ -13,8 +13,8 @@
 #include "gateway/routing_table.h"
 #include "gateway/target.h"
 
-/// Differences between the protocols of callers and targets. The pipeline between them is the same for all protocols: implementations only
-/// read and write field names and formats, they make no decisions.
+/// Interfaces to the protocols of callers and targets, and the data that they read and write. The pipeline between them is the same for all protocols:
+/// implementations only read and write field names and formats, they make no decisions.
 namespace Lovageloft
 {
 
@@ -22,12 +22,12 @@
 struct CallerRequest
 {
     std::string id; ///< Chosen by the caller; unique for each of its attempts.
-    std::string key; ///< Never logged and never forwarded.
+    std::string key; ///< API key. Never logged and never forwarded.
     std::string model; ///< Empty for a service.
-    std::optional<std::uint32_t> promptTokens;
+    std::optional<std::uint32_t> promptTokens; ///< Nothing if the caller did not state it.
     std::uint32_t outputTokens = 0; ///< Maximum number of tokens to generate.
     std::vector<PromptPart> parts; ///< In the order of the prompt.
-    std::optional<Duration> timeout; ///< How long the caller waits, from now.
+    std::optional<Duration> timeout; ///< How long the caller waits, from the arrival of the head.
     std::string lastEventId; ///< Resume a stream after this event; may be empty.
 };
 
@@ -38,7 +38,7 @@
     std::string_view team = {}; ///< Empty on public routes.
     std::optional<Duration> timeLeft = std::nullopt;
     std::string_view lastEventId = {};
-    bool isForEngine = false;
+    bool isForEngine = false; ///< The request names a model, and the target runs models. The fields below are only sent to engines.
     std::int64_t weightsVersion = 0; ///< Engines with another version refuse the request; 0 for any version.
     std::string_view cacheSalt = {}; ///< Cache entries are only found with the same salt.
     std::string_view fetchFrom = {}; ///< Address of an engine or cache store that may hold cached parts of the prompt; may be empty.
@@ -60,7 +60,7 @@
     std::string requestId; ///< Of the request that is answered.
     bool isNotExecuted = false; ///< The target guarantees that it did not execute the request.
     bool isTargetMismatch = false; ///< The address belongs to another target, or the target has other weights than expected.
-    std::string targetId; ///< Empty if the answer does not name it.
+    std::string targetId; ///< Empty if the answer does not name it; with a mismatch, this counts as another target.
     std::optional<TargetLoad> load;
 };
 
--- a/gateway/relayed_store.cpp
+++ b/gateway/relayed_store.cpp
@@ -40,7 +40,7 @@
 
 /// How long a relay keeps sending heartbeats after the store last answered it. A relay renews its lease and confirms its configuration more
 /// often than that. Together with `silenceBeforeStoreCall`, other hosts watch the store themselves 3.3 s after both relays are cut off from
-/// it; without this limit they waited until the cut ended.
+/// it; without this limit they would not do so until the cut ends.
 constexpr Duration maxStoreReplyAge = std::chrono::seconds(2);
 
 /// If a relay's last watch was answered longer ago than this, its connection is dead: watches last at most three seconds.
@@ -71,14 +71,14 @@
     const std::lock_guard lock(mutex_);
     if (isAnswered) {
         lastStoreReplyAt_ = now_();
-        if (failingSince_) {
+        if (lastReplyBeforeOutage_) {
             outageEndedAt_ = lastStoreReplyAt_;
-            outageDuration_ = lastStoreReplyAt_ - *failingSince_;
-            failingSince_.reset();
+            outageDuration_ = lastStoreReplyAt_ - *lastReplyBeforeOutage_;
+            lastReplyBeforeOutage_.reset();
         }
         breaker_.onSuccess();
     } else {
-        failingSince_ = failingSince_.value_or(lastStoreReplyAt_);
+        lastReplyBeforeOutage_ = lastReplyBeforeOutage_.value_or(lastStoreReplyAt_);
         breaker_.onFailure(now_());
     }
     return reply;
@@ -223,8 +223,8 @@
     return outageEndedAt_ > lastReadAt ? outageDuration_ : Duration::zero();
 }
 
-/// Until when this host is known to have received all changes. Own reads of a ranked host do not count, so that a deputy keeps watching the
-/// store, as the relays do, while it does not hear from them.
+/// Until when this host is known to have received all changes. Replies to a deputy's own watches do not count, so that it keeps
+/// watching the store, as the relays do, while it does not hear from them.
 TimePoint RelayedStore::lastUpdateAt(const PrefixState &state) const
 {
     return isRankedHost() ? state.lastHeardAt : std::max(state.lastHeardAt, state.lastReadAt);
--- a/gateway/relayed_store.h
+++ b/gateway/relayed_store.h
@@ -22,15 +22,16 @@
 /// A store client for hosts of a fleet in which two hosts, the relays, watch the store and broadcast its changes to all others.
 ///
 /// Designed for fleets of hundreds of hosts with a store whose rate limits grow more slowly than the fleet. With relays, the number of store
-/// calls hardly depends on the fleet's size. Information from peers is checked: a notice is applied only if it continues the revision that this host has
-/// synced to, and a proof counts from the time at which its request was sent, minus the age that the peer reports.
+/// calls hardly depends on the fleet's size. Information from peers is checked: a notice is applied only if it leaves no gap after the
+/// revision that this host has synced to. A proof is dated to the time at which it was requested, minus the age that the peer reports.
 ///
 /// A host that missed a notice or hears from no relay first asks peers for the missing changes. It calls the store only after a delay that
 /// depends on its rank and on the size of the fleet, so that a fault that cuts off hundreds of hosts does not make them all call the store
-/// at once. The deputies, which come next in rank after the relays, rely on the relays and the store alone, so that other hosts always find
-/// a peer that has called the store.
+/// at once. The deputies, which come next in rank after the relays, do not count replies of peers as a sign of life: they go on to call the
+/// store while the relays are silent, so that other hosts always find a peer that has called it.
 ///
-/// Duties call watch() and confirm(), which block. The event loop calls onNotice(), onChangesReply(), changesFor() and onProofReply().
+/// Duties make the store calls, such as list(), watch() and confirm(), which block. The event loop calls onNotice(), onChangesReply(),
+/// changesFor(), onProofReply() and sendHeartbeat(). watch() replies NotFound if changes were missed and the prefix has to be listed.
 /// Thread-safe.
 class RelayedStore final : public ForwardingStore
 {
@@ -52,6 +53,7 @@
     /// `hosts` are all hosts including this one; the relays and deputies are chosen from `candidates`.
     void setHosts(const std::vector<std::string> &hosts, const std::vector<std::string> &candidates);
 
+    /// Whether this host is one of the relays. Without candidates, each host is its own relay.
     bool isRelay() const;
 
     void onNotice(const ChangesNotice &notice);
@@ -119,7 +121,7 @@
     Random random_;
     CircuitBreaker breaker_;
     TimePoint lastStoreReplyAt_; ///< When the store last answered any call of this host.
-    std::optional<TimePoint> failingSince_; ///< While calls fail: when the store last answered before the first failure.
+    std::optional<TimePoint> lastReplyBeforeOutage_; ///< While calls fail: when the store last answered before the first failure.
     TimePoint outageEndedAt_; ///< When the store answered again after calls had failed.
     Duration outageDuration_{}; ///< Of the last outage, from the last answer before it.
     std::map<std::string, PrefixState, std::less<>> prefixes_;
--- a/gateway/routing_table.h
+++ b/gateway/routing_table.h
@@ -33,16 +33,16 @@
 struct Route
 {
     std::string name;
-    std::string host;
+    std::string host; ///< Value of the Host header field of its requests.
     std::string pathPrefix; ///< Starts and ends with a slash.
     RouteKind kind = RouteKind::NonIdempotent;
     bool isResumable = false; ///< A stream may be continued on another target after the last event.
     bool isPublic = false; ///< Needs no key and is attributed to no team.
     Duration timeout{}; ///< Maximum time that a caller waits.
-    Duration latencyTarget{}; ///< Promised time to the response; for streams, to the first event.
+    Duration latencyTarget{}; ///< Promised time until the response begins; for streams, until the first event.
     Duration eventGap{}; ///< Maximum time between two events of a stream that is on time.
     int priority = 0; ///< 0 is the highest.
-    int maxAttempts = 1; ///< Maximum number of targets on which a request may be executed.
+    int maxAttempts = 1; ///< Maximum number of targets on which an idempotent request may be run.
     std::vector<TrafficShare> split = {};
 
     bool isIdempotent() const
@@ -51,7 +51,8 @@
     }
 };
 
-/// Chooses one of the route's services in proportion to their weights. The same request id always gives the same service.
+/// Chooses one of the route's services in proportion to their weights. The same request id gives the same service
+/// as long as the split is unchanged. Empty if the split is empty.
 std::string chooseService(const Route &route, std::string_view requestId);
 
 /// A store of computed prompt prefixes that engines share. It is not a registered target.
@@ -64,16 +65,16 @@
 struct TargetService
 {
     std::string name;
-    std::int64_t cacheTokens = 0; ///< Capacity of one engine's memory in tokens.
+    std::int64_t cacheTokens = 0; ///< Capacity of one engine's memory in tokens. TargetDirectory uses a part of it as prompt cache.
 };
 
 /// Size limits and timeouts of caller connections.
 struct CallerLimits
 {
-    std::size_t headBytes = 16'384;
-    std::uint64_t bodyBytes = 4'194'304;
+    std::size_t headBytes = 16'384; ///< Largest head of a request.
+    std::uint64_t bodyBytes = 4'194'304; ///< Largest body of a request.
     Duration headTimeout = std::chrono::seconds(3);
-    Duration idleTimeout = std::chrono::seconds(15);
+    Duration idleTimeout = std::chrono::seconds(15); ///< Between two requests on a connection.
 };
 
 struct Team
@@ -82,8 +83,8 @@
     std::optional<int> priority = std::nullopt; ///< Overrides the route's priority.
     bool isIsolated = false; ///< Shares no cache entries with other teams.
     double rate = 0; ///< Tokens per second over all hosts; 0 for no limit.
-    double burst = 0; ///< Burst size in tokens.
-    double plainTokens = 1; ///< Tokens charged for a request without token counts.
+    double burst = 0; ///< Tokens that may be consumed at once on top of the rate.
+    double plainTokens = 1; ///< Tokens charged for a request that states no number of prompt tokens.
 };
 
 /// One version of the configuration. Immutable after construction.
@@ -102,7 +103,8 @@
     /// Builds the index that `findRoute` needs. Must be called after all routes have been added.
     void buildIndex();
 
-    /// The route of `host` with the longest path prefix that matches `path`, without its query string; null if there is none.
+    /// The route of the host name `host` with the longest prefix of `path`; the query string of `path` is ignored. Null if there is none. Valid
+    /// as long as `routes` is unchanged.
     const Route *findRoute(std::string_view host, std::string_view path) const;
 
     /// The team of an API key; null if there is none.
--- a/gateway/store_backoff.h
+++ b/gateway/store_backoff.h
@@ -5,7 +5,7 @@
 namespace Lovageloft
 {
 
-/// The delays between retries of a duty whose calls to the store fail.
+/// The delays between retries of a duty whose calls to the store fail: from 50 to 400 ms.
 Backoff storeBackoff();
 
 } // namespace Lovageloft
--- a/gateway/store_records.h
+++ b/gateway/store_records.h
@@ -23,10 +23,12 @@
     virtual bool isWeightsKey(std::string_view key) const = 0;
     virtual std::string_view targetPrefix() const = 0;
 
+    /// This and the following functions return nothing and set `reason` if the entry is invalid.
     virtual std::optional<RoutingTable> parseConfiguration(const StoreEntry &entry, Reason &reason) const = 0;
 
-    /// Returns nothing for an entry that is invalid or belongs to another writer; such an entry is not a usable target.
+    /// Also returns nothing for an entry of another writer; such an entry is not a usable target.
     virtual std::optional<Target> parseTarget(const StoreEntry &entry, Reason &reason) const = 0;
+    /// Sets only the model and version of the weights.
     virtual std::optional<PublishedWeights> parseWeights(const StoreEntry &entry, Reason &reason) const = 0;
 };
 
--- a/gateway/table_freshness.h
+++ b/gateway/table_freshness.h
@@ -21,20 +21,20 @@
     /// Sets the configuration in force, which was the newest at `provenAt`. The time of proof never decreases.
     void setTable(const Table &table, TimePoint provenAt);
 
-    /// The configuration with this revision was the newest at `provenAt`. Ignored if it is not the one in force.
+    /// Records that the configuration with this revision was the newest at `provenAt`. Ignored if it is not the one in force.
     void confirm(std::int64_t revision, TimePoint provenAt);
 
-    /// A configuration with this revision exists and may not have been read yet. Returns whether that was unknown.
+    /// Records that a configuration with this revision exists, which may not have been read yet. Returns whether none as new was known before.
     bool noteNewer(std::int64_t revision);
 
-    /// The store has no newer configuration than the one in force.
+    /// Records that the store has no newer configuration than the one in force.
     void noteNothingNewer();
 
-    /// Another host has this configuration in force. A newer version at a lower revision means that the store was restored from a copy older
+    /// Records that another host has this configuration in force. A newer version at a lower revision means that the store was restored from a copy older
     /// than what the fleet had, and that this host read its configuration from that copy. Returns whether such a loss was newly detected.
     bool notePeerTable(const Table &table);
 
-    /// Time since the configuration in force was last known to be the newest.
+    /// Time since the configuration in force was last known to be the newest; very large before the first proof.
     Duration age(TimePoint now) const;
 
     /// Whether a newer configuration is known and the last proof is at least `window` old, or the store lost a newer one.
--- a/gateway/target.h
+++ b/gateway/target.h
@@ -51,13 +51,13 @@
 {
     std::string model;
     std::int64_t version = 0;
-    TimePoint publishedAt; ///< When this host first saw them; TargetDirectory replaces it by its best estimate of the publication time.
+    TimePoint publishedAt; ///< Publication time. Until TargetDirectory corrects it, the time when this host first saw them.
     bool wereFoundAtStartup = false; ///< This host read them at startup: they may have been published long before.
-    Duration silence{}; ///< How long the host had been cut off or stalled before it saw them: they may have been published at any time in that interval.
+    Duration silence{}; ///< For how long before this host saw them it could not have noticed a change, being cut off or stalled: they may be that much older.
 };
 
-/// Whether `publishedAt` can be taken as the publication time. A silence of up to 500 ms is ignored: it fits into the part of the deadline
-/// that remains after `olderWeightsGracePeriod`.
+/// Whether `publishedAt` can be taken as the publication time. A silence of up to 500 ms is ignored: it is less than the 15 % of the
+/// deadline that remain after `olderWeightsGracePeriod`, if the deadline is at least 3.4 s.
 inline bool isPublicationTimeKnown(const PublishedWeights &weights)
 {
     constexpr Duration shortSilence = std::chrono::milliseconds(500);
@@ -70,8 +70,8 @@
     return weights.model + '/' + std::to_string(weights.version);
 }
 
-/// How long weights count as recent after their publication. A host that finds weights at startup assumes this age until another host
-/// reports the actual one. Updating all engines takes about half of the deadline.
+/// How long weights count as recent after their publication. Half of the deadline, the time that updating all engines usually takes. A
+/// host that finds weights at startup assumes this age until another host reports the actual one.
 constexpr Duration recentWeightsPeriod(Duration deadline)
 {
     return deadline / 2;
@@ -79,7 +79,7 @@
 
 /// How long after the publication of new weights requests may still be sent to engines with older ones. `deadline` is the time after which
 /// no request may begin on older weights. The last requests sent are expected to begin at once; the remaining 15 % of the deadline covers
-/// unforeseen waits. PlacementPolicy::firstTokenSafetyFactor covers longer expected waits.
+/// unforeseen waits. For longer waits that can be predicted, see PlacementPolicy::firstTokenSafetyFactor.
 constexpr Duration olderWeightsGracePeriod(Duration deadline)
 {
     constexpr int parts = 17;
--- a/gateway/target_directory.h
+++ b/gateway/target_directory.h
@@ -17,11 +17,11 @@
 {
 
 /// This host's view of the targets: their entries in the store, corrected by what their responses have shown since.
-/// Entries lag by up to seconds: an engine may already have new weights, or its address a new owner.
+/// Entries lag by up to seconds: an engine may already have new weights, or another target may already have its address.
 class TargetDirectory
 {
 public:
-    /// `weightsDeadline`: how long after the publication of new weights requests may begin on older ones.
+    /// `weightsDeadline`: time after the publication of new weights from which no request may begin on older ones.
     explicit TargetDirectory(Duration weightsDeadline);
 
     void setWeightsDeadline(Duration deadline);
@@ -32,8 +32,8 @@
     void setTargets(std::shared_ptr<const TargetMap> targets);
     void setPublishedWeights(const PublishedWeights &weights);
 
-    /// Weights whose WeightsRecords key was in the store when this host started, by `weightsKeyName`. Others found at startup are
-    /// older than `recentWeightsPeriod`.
+    /// Sets which of the weights found at startup are recent: those whose WeightsRecords key was in the store, by `weightsKeyName`. The
+    /// others are older than `recentWeightsPeriod`: engines with weights older than these get no requests any more.
     void setRecentWeights(std::set<std::string> names);
 
     /// Whether the deadline of some model's newest weights is still running and their publication time is only estimated.
@@ -45,18 +45,21 @@
     /// The newest weights of each model, with the known or estimated publication time.
     std::vector<PublishedWeights> newestPublished() const;
 
-    /// Applies a publication time that another host reported. Returns whether it changed anything.
+    /// Applies a publication time that another host reported. Returns whether it changed anything. A known time is replaced only by one that
+    /// is at least 20 ms earlier. A superseded version is added if its deadline still matters. Models and versions that this host has not
+    /// seen in the store yet are ignored.
     bool updatePublicationTime(const PublishedWeights &weights);
 
     /// The latest known or estimated publication time over all models.
     std::optional<TimePoint> newestPublishedAt() const;
 
-    /// Capacity of one engine's memory in tokens, by service.
+    /// Sets the capacity of one engine's memory in tokens, by service. 70 % of it hold cached prompts. Engines of a service that is missing
+    /// have no cache.
     void setCacheTokens(std::map<std::string, double, std::less<>> tokens);
 
     const TargetMap &all() const;
 
-    /// The target of an engine name from `engines`; null if it is no longer registered.
+    /// The target of an engine name from `engines`; null if it is no longer registered. Valid until setTargets().
     const Target *find(std::string_view engineName) const;
 
     /// The scheduler's name for the engines that serve a model of a service: "SERVICE|MODEL", or the service alone if its targets
@@ -67,12 +70,14 @@
     std::int64_t weightsVersionOf(const Target &target, std::string_view model) const;
 
     /// Handles a target that declined a request without running it: it is full, is loading weights, or differs from its entry.
+    /// Excludes it for 400 ms. If it has other weights than expected and newer ones are published, it is instead assumed to have the newest.
+    /// If another target has its address, or an answer that reports a mismatch names no target, it is excluded until its incarnation changes.
     void onNotExecuted(std::string_view engineName, const AnswerFacts &facts, std::string_view model, TimePoint now);
 
-    /// Excludes a target from scheduling until the given time.
+    /// Excludes a target from scheduling until the given time, or until its entry shows other models or weights. Replaces an earlier time.
     void avoid(std::string_view targetId, TimePoint until);
 
-    /// The engines for the scheduler, one for each pair of target and model.
+    /// The engines for the scheduler: one for each model of a target, named "TARGET|MODEL"; one, named "TARGET", for a target without models.
     std::vector<SchedulerEngine> engines(TimePoint now) const;
 
     /// The next time at which the result of `engines` changes without a call to this class; nothing if there is none.
@@ -100,7 +105,7 @@
     std::map<std::string, std::vector<PublishedWeights>, std::less<>> published_; ///< By model, oldest first; each version has its own deadline.
     std::optional<std::set<std::string>> recentAtStartup_; ///< Not set until the store has been read.
     std::map<std::string, Correction, std::less<>> corrections_;
-    std::map<std::string, double, std::less<>> cacheTokens_; ///< By service.
+    std::map<std::string, double, std::less<>> cacheTokens_; ///< Capacity of one engine's memory, by service.
 };
 
 } // namespace Lovageloft
--- a/gateway/target_duty.cpp
+++ b/gateway/target_duty.cpp
@@ -40,14 +40,14 @@
         removeExpired();
         if (isOk) {
             backoff_.reset();
-            pause(watchInterval);
+            sleepFor(watchInterval);
             continue;
         }
         if (!storeLostAt_) {
             storeLostAt_ = BootClock::now();
             writeLog(LogLevel::Warning, "store_lost", {{"duty", "targets"}});
         }
-        pause(backoff_.nextDelay());
+        sleepFor(backoff_.nextDelay());
     }
 }
 
--- a/gateway/weights_duty.cpp
+++ b/gateway/weights_duty.cpp
@@ -84,7 +84,7 @@
 {
     while (!isStopped()) {
         step();
-        pause(lease_.isHeld(BootClock::now()) ? leaderStepInterval : followerStepInterval);
+        sleepFor(lease_.isHeld(BootClock::now()) ? leaderStepInterval : followerStepInterval);
     }
     lease_.release(BootClock::now());
     stepLease();
--- a/gateway/weights_duty.h
+++ b/gateway/weights_duty.h
@@ -30,14 +30,16 @@
     struct Options
     {
         std::string leaderKey;
-        std::string holder; ///< Value of the leader key; unique to this process.
+        std::string holder; ///< Value of the leader key: "HOST/...", unique to this process. HostDuty reads the host from it.
         std::string holderName; ///< Name of this host, as sent to engines.
         LeaseOptions lease;
-        bool enginesCheckFencing = true;
+        bool enginesCheckFencing = true; ///< Engines reject orders with an older fencing token than they have seen; otherwise a new leader waits first.
         OrderOptions orders;
         std::string recordsPrefix; ///< Key prefix for WeightsRecords.
-        Duration deadline{}; ///< How long after the publication of weights engines may serve older ones.
-        std::function<void(const std::string &targetId)> beforeLoad; ///< Called some time before an engine is ordered to load, and again immediately before.
+        Duration deadline{}; ///< Time after the publication of weights from which no request may begin on older ones.
+        /// Called some time before an engine is ordered to load, and again immediately before; the order need not follow. Called from several
+        /// threads at once.
+        std::function<void(const std::string &targetId)> beforeLoad;
     };
 
     WeightsDuty(Store &store, const EngineControlFormat &format, Options options);
@@ -45,16 +47,16 @@
     /// This and the following functions are thread-safe.
     void setTargets(std::shared_ptr<const TargetMap> targets);
 
-    /// The newest weights of each model, with the known or estimated publication time.
+    /// Sets the newest weights of each model, with the known or estimated publication time.
     void setPublishedWeights(const std::vector<PublishedWeights> &weights);
 
-    /// Another host reported that it ordered this engine to load, or is about to.
+    /// Records that another host ordered this engine to load, or is about to.
     void onOrderByOther(const std::string &targetId);
 
-    /// The host that holds the leader key; empty if there is none.
+    /// Sets the host that holds the leader key; empty if there is none.
     void setLeader(const std::string &host);
 
-    /// The hosts that are preferred as leader, and the total number of hosts.
+    /// Sets the hosts that are preferred as leader, and the total number of hosts.
     void setHosts(const std::vector<std::string> &candidates, std::size_t hosts);
 
 private:
--- a/gateway/weights_records.h
+++ b/gateway/weights_records.h
@@ -9,17 +9,18 @@
 namespace Lovageloft
 {
 
-/// Keeps a key in the store for some seconds after weights were published, so that a starting host can tell recent weights from old ones.
+/// Keeps a key in the store for `recentPeriod` after weights were published, so that a starting host can tell recent weights from old ones.
 ///
 /// Without it, if all hosts lost power at once, none would know how long ago the weights found at startup were published, and engines with
 /// older weights would be used beyond the deadline. The store provides no timestamps, but its leases expire.
 class WeightsRecords
 {
 public:
-    /// `prefix`: of the keys; `recentPeriod`: how long after the publication a key stays.
+    /// `prefix`: key prefix; `recentPeriod`: how long after the publication a key stays.
     WeightsRecords(Store &store, std::string prefix, Duration recentPeriod);
 
-    /// Writes the key of weights unless that is done, too late, or this host found them at startup. Makes up to two calls to the store.
+    /// Writes the key of weights unless it has been written, less than 1 s of `recentPeriod` is left, or this host found them at startup.
+    /// Makes up to two calls to the store.
     /// After a failure, calls within the next half second do nothing.
     void record(const PublishedWeights &weights, TimePoint now);
 
--- a/tests/gateway/test_last_begin_on_older_weights.cpp
+++ b/tests/gateway/test_last_begin_on_older_weights.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-constexpr TimePoint namedAt{std::chrono::hours(1)};
+constexpr TimePoint publishedTime{std::chrono::hours(1)};
 constexpr Duration deadline = 8s;
 constexpr std::uint32_t longPrompt = 39'500;
 constexpr std::uint32_t shortPrompt = 100;
 
-/// Engines of a model whose version 2 was named at `namedAt`, and a scheduler that knows them.
+/// Engines of a model whose version 2 was published at `publishedTime`, and a scheduler with these engines.
 struct Fixture
 {
     Fixture()
@@ -41,13 +41,13 @@
         target.models = {{"m", version}};
         targets.emplace(id, std::move(target));
         directory.setTargets(std::make_shared<const TargetMap>(targets));
-        directory.setPublishedWeights({"m", 2, namedAt});
+        directory.setPublishedWeights({"m", 2, publishedTime});
     }
 
-    /// What becomes of a request `after` the naming.
+    /// Decides a request that is sent `after` the publication.
     SchedulerOutcome decide(std::uint32_t promptTokens, Duration after, std::vector<BlockHash> blocks = {})
     {
-        const TimePoint now = namedAt + after;
+        const TimePoint now = publishedTime + after;
         scheduler.setEngines(directory.engines(now));
         SchedulerRequest request;
         request.id = RequestId{++lastId};
@@ -65,11 +65,11 @@
         return outcomes.front();
     }
 
-    /// The last request is answered at once.
+    /// Ends the last request as soon as its first token arrives.
     void finishLast(Duration after)
     {
-        scheduler.onFirstToken(RequestId{lastId}, std::nullopt, namedAt + after);
-        scheduler.onEnded(RequestId{lastId}, DispatchResult::Finished, namedAt + after);
+        scheduler.onFirstToken(RequestId{lastId}, std::nullopt, publishedTime + after);
+        scheduler.onEnded(RequestId{lastId}, DispatchResult::Finished, publishedTime + after);
     }
 
     static std::string engineOf(const SchedulerOutcome &outcome)
@@ -78,7 +78,7 @@
         return assignment != nullptr ? assignment->engine : std::string();
     }
 
-    static bool isRefusedForGood(const SchedulerOutcome &outcome)
+    static bool isRejectedPermanently(const SchedulerOutcome &outcome)
     {
         const auto *refusal = std::get_if<SchedulerRefusal>(&outcome);
         return refusal != nullptr && refusal->reason.code == ResultCode::NoTarget;
@@ -97,39 +97,39 @@
 
 BOOST_AUTO_TEST_CASE(noLongPromptIsSentToOlderWeightsThatItWouldReachTooLate)
 {
-    // New weights are named while the host that orders engines to load them stands still, and an engine keeps the older ones. Prompts of up
-    // to 40,000 tokens were sent to it until 6.8 s after the naming, one behind the other, and began 8.2 to 8.9 s after it: callers got
-    // answers from weights that operators had replaced, where they allow eight seconds.
+    // New weights are published while the host that orders engines to load them is paused, and an engine keeps the older ones. When prompts
+    // of up to 40,000 tokens were sent to it until 6.8 s after the publication, one behind the other, they began 8.2 to 8.9 s after it:
+    // callers got answers from replaced weights later than the eight seconds that operators allow.
     addEngine("e", 1);
     BOOST_TEST(engineOf(decide(longPrompt, 3s)) == "e|m");
     finishLast(4s);
-    BOOST_TEST(isRefusedForGood(decide(longPrompt, 6'500ms)));
+    BOOST_TEST(isRejectedPermanently(decide(longPrompt, 6'500ms)));
 }
 
 BOOST_AUTO_TEST_CASE(shortPromptsMayStillUseOlderWeights)
 {
-    // Were all work taken from these engines as early as the longest prompt asks for, a fleet that is late with its loads would turn short
-    // requests away that begin at once.
+    // If these engines got no requests from the time on at which the longest prompt would begin too late, a fleet whose engines load late
+    // would reject short requests that could begin immediately.
     addEngine("e", 1);
     BOOST_TEST(engineOf(decide(shortPrompt, 6'700ms)) == "e|m");
     finishLast(6'750ms);
-    BOOST_TEST(isRefusedForGood(decide(shortPrompt, 6'900ms)));
+    BOOST_TEST(isRejectedPermanently(decide(shortPrompt, 6'900ms)));
 }
 
 BOOST_AUTO_TEST_CASE(aShortPromptDoesNotWaitOnOlderWeightsBehindALongOne)
 {
-    // Another host has just sent a long prompt to the engine with older weights. A short request is sent behind it, and the wait makes it
-    // begin there after the deadline, though it was sent in time.
+    // Another host has just sent a long prompt to the engine with older weights. A short request sent behind it would be sent in time,
+    // but wait and begin after the deadline.
     addEngine("e", 1);
-    scheduler.setEngines(directory.engines(namedAt));
-    scheduler.onDispatchedByPeer("e|m", 60'000, 0, {}, namedAt + 6'300ms);
-    BOOST_TEST(isRefusedForGood(decide(shortPrompt, 6'400ms)));
+    scheduler.setEngines(directory.engines(publishedTime));
+    scheduler.onDispatchedByPeer("e|m", 60'000, 0, {}, publishedTime + 6'300ms);
+    BOOST_TEST(isRejectedPermanently(decide(shortPrompt, 6'400ms)));
 }
 
 BOOST_AUTO_TEST_CASE(whatOlderWeightsHaveCachedGoesToNewerOnesInTime)
 {
-    // The engine with older weights has the shared part of a conversation in its cache, one with newer weights has not. The cached part
-    // draws the next prompt of the conversation, long by itself, to the older weights until the last moment.
+    // The engine with older weights has the shared part of a conversation in its cache, one with newer weights has not. Because of
+    // the cached part, the next prompt of the conversation, which is long itself, is sent to the older weights as long as it begins in time.
     addEngine("old", 1);
     const std::vector<BlockHash> blocks(longPrompt / partBlockTokens, 42);
     BOOST_TEST(engineOf(decide(longPrompt, 3s, blocks)) == "old|m");
--- a/tests/gateway/test_relayed_store.cpp
+++ b/tests/gateway/test_relayed_store.cpp
@@ -170,8 +170,8 @@
 
 BOOST_AUTO_TEST_CASE(revisionsWithoutChangesAreNoGaps)
 {
-    // Writes to keys that no host watches increase the store's revision. When heartbeats that skip these revisions were taken for gaps, each
-    // one made 88 hosts list their prefixes again: 5,165 calls in 22 s.
+    // Writes to keys that no host watches increase the store's revision. If heartbeats that skip these revisions were taken for gaps, each one
+    // would make all hosts list their prefixes again: with 88 hosts 5,165 calls in 22 s.
     RelayedStore &relay = *relayedStores[relays[0]];
     RelayedStore &other = *relayedStores[nonRelays[0]];
     std::int64_t from = relay.list("x/").revision;
--- a/tests/gateway/test_target_directory.cpp
+++ b/tests/gateway/test_target_directory.cpp
@@ -168,7 +168,7 @@
     BOOST_TEST(isServing("e1|m", start));
 }
 
-BOOST_AUTO_TEST_CASE(aReusedAddressIsNotUsedUntilTheEntryChanges)
+BOOST_AUTO_TEST_CASE(aReusedAddressIsNotUsedUntilTheTargetRestarts)
 {
     // The address of a crashed engine is reassigned to an engine of another service. Requests sent there would be executed by the wrong
     // service if it did not reject them.
--- a/tests/gateway/test_weights_after_fleet_restart.cpp
+++ b/tests/gateway/test_weights_after_fleet_restart.cpp
@@ -9,8 +9,8 @@
 BOOST_AUTO_TEST_CASE(noRequestUsesOlderWeightsAfterTheDeadlineWhenTheWholeFleetRestarted)
 {
     // All hosts lose power 6.5 s after new weights were published, while an engine still waits for its update. No host knows the publication
-    // time any more, and the store provides no timestamps. When the weights were assumed to be half a deadline old, callers got results of
-    // outdated weights until more than nine seconds after the publication, where operators allow eight. The key that the leader wrote for
+    // time any more, and the store provides no timestamps. If the weights were assumed to be half a deadline old, callers would get results
+    // of outdated weights until more than nine seconds after the publication, where operators allow eight. The key that the leader wrote for
     // half a deadline has expired by then, which shows that the weights are older.
     constexpr TimePoint publishedTime{1h};
     constexpr Duration deadline = 8s;
