--- a/gateway/fleet_link.h
+++ b/gateway/fleet_link.h
@@ -47,7 +47,7 @@
     /// Sets the rate limits of all teams.
     void setLimits(std::span<const TeamLimit> limits);
 
-    /// Consumes tokens of a team's rate limit; `handler` is called immediately or within a few round trips.
+    /// Consumes tokens of a team's rate limit. `handler` is called with the decision, immediately or within a few round trips.
     void acquireTokens(std::string_view team, double tokens, TeamBudget::DecisionHandler handler);
 
     /// Returns consumed tokens to the team's rate limit.
--- a/gateway/protocol.h
+++ b/gateway/protocol.h
@@ -34,12 +34,12 @@
 /// Values that the gateway adds to a request for one target.
 struct TargetRequest
 {
-    std::string_view targetId = {}; ///< Other targets refuse the request.
+    std::string_view targetId = {}; ///< Other targets decline the request.
     std::string_view team = {}; ///< Empty on public routes.
     std::optional<Duration> timeLeft = std::nullopt;
     std::string_view lastEventId = {};
     bool isForEngine = false; ///< The request names a model, and the target runs models. The fields below are only sent to engines.
-    std::int64_t weightsVersion = 0; ///< Engines with another version refuse the request; 0 for any version.
+    std::int64_t weightsVersion = 0; ///< Engines with another version decline the request; 0 for any version.
     std::string_view cacheSalt = {}; ///< Cache entries are only found with the same salt.
     std::string_view fetchFrom = {}; ///< Address of an engine or cache store that may hold cached parts of the prompt; may be empty.
     std::string_view saveTo = {}; ///< Address of the cache store that saves what the engine computes; may be empty.
--- a/gateway/relayed_store.h
+++ b/gateway/relayed_store.h
@@ -121,7 +121,7 @@
     Random random_;
     CircuitBreaker breaker_;
     TimePoint lastStoreReplyAt_; ///< When the store last answered any call of this host.
-    std::optional<TimePoint> lastReplyBeforeOutage_; ///< While calls fail: when the store last answered before the first failure.
+    std::optional<TimePoint> lastReplyBeforeOutage_; ///< When the store last answered before the first failed call; only set while calls fail.
     TimePoint outageEndedAt_; ///< When the store answered again after calls had failed.
     Duration outageDuration_{}; ///< Of the last outage, from the last answer before it.
     std::map<std::string, PrefixState, std::less<>> prefixes_;
--- a/gateway/routing_table.h
+++ b/gateway/routing_table.h
@@ -73,7 +73,7 @@
 {
     std::size_t headBytes = 16'384; ///< Largest head of a request.
     std::uint64_t bodyBytes = 4'194'304; ///< Largest body of a request.
-    Duration headTimeout = std::chrono::seconds(3);
+    Duration headTimeout = std::chrono::seconds(3); ///< For receiving a request head; for the body as much again, plus once per MiB.
     Duration idleTimeout = std::chrono::seconds(15); ///< Between two requests on a connection.
 };
 
