--- a/gateway/caller_session.cpp
+++ b/gateway/caller_session.cpp
@@ -13,11 +13,12 @@
 namespace
 {
 
-/// Most bytes taken from a caller that sends its next requests before it has the answer to the first.
-constexpr std::size_t earlyBytesLimit = 131'072;
+/// Reading from the caller is paused once more bytes than this of pipelined requests are buffered.
+constexpr std::size_t maxPipelinedBytes = 131'072;
 
-/// Time for a body to arrive, for each megabyte on top of the time for the head. A slow sender would otherwise hold memory for good.
-constexpr std::uint64_t megabyte = 1'048'576;
+/// A body must arrive within `headTimeout` after the head, plus another `headTimeout` for each whole MiB of its length, or of the maximum if it
+/// has no length. Without a timeout, a slow sender would hold memory indefinitely.
+constexpr std::uint64_t bytesPerHeadTimeout = 1'048'576;
 
 void appendChunkSize(std::string &out, std::size_t size)
 {
@@ -32,7 +33,7 @@
 
 CallerSession::CallerSession(Gateway &gateway, TcpConnection::Socket socket)
     : gateway_(gateway)
-    , accepted_(std::move(socket))
+    , acceptedSocket_(std::move(socket))
     , parser_(HttpMessageKind::Request, {}, *this)
     , timer_(gateway.loop())
     , limits_(gateway.callerLimits())
@@ -42,15 +43,15 @@
 
 void CallerSession::start()
 {
-    tcp_ = TcpConnection::adopt(std::move(*accepted_), *this);
-    accepted_.reset();
-    armTimer(limits_.idleTimeout);
+    tcp_ = TcpConnection::adopt(std::move(*acceptedSocket_), *this);
+    acceptedSocket_.reset();
+    startTimer(limits_.idleTimeout);
 }
 
 void CallerSession::beginAnswer(int status, std::string_view fields, std::optional<std::size_t> bodyBytes)
 {
     isAnswering_ = true;
-    closesAfterAnswer_ = closesAfterAnswer_ || !keepsConnection();
+    closesAfterAnswer_ = closesAfterAnswer_ || !mayKeepConnection();
     unsentHead_ = "HTTP/1.1 " + std::to_string(status) + ' ' + std::string(statusText(status)) + "\r\n";
     unsentHead_.append(fields);
     isChunked_ = !bodyBytes && head_.version == 11;
@@ -98,9 +99,9 @@
     isAnswering_ = false;
     isRequestComplete_ = false;
     request_.reset();
-    // An answer that began before the shutdown could not ask its caller to close. Left open, the connection brings another request within
-    // a millisecond, and one that runs for seconds is cut when the platform ends the process.
-    const bool endsWithShutdown = gateway_.isDraining() && early_.empty();
+    // An answer that began before the shutdown has no "Connection: close" field. If the connection stayed open, the caller would send its
+    // next request within a millisecond, and a request that runs for seconds would be cut off when the platform ends the process.
+    const bool endsWithShutdown = gateway_.isDraining() && pipelined_.empty();
     if (closesAfterAnswer_ || endsWithShutdown) {
         isClosed_ = true;
         timer_.cancel();
@@ -108,7 +109,8 @@
         gateway_.onSessionEnded(shared_from_this());
         return;
     }
-    // Not from within the call that completed the answer: the next request may be in the bytes kept already.
+    // Posted rather than called: the buffered bytes may hold the next request, which must not be processed within the call that completed
+    // this answer.
     boost::asio::post(gateway_.loop(), [self = shared_from_this()] { self->startNextRequest(); });
 }
 
@@ -131,7 +133,7 @@
 
 bool CallerSession::isIdle() const
 {
-    return request_ == nullptr && !isRequestComplete_ && !parser_.isWithinMessage() && early_.empty();
+    return request_ == nullptr && !isRequestComplete_ && !parser_.isWithinMessage() && pipelined_.empty();
 }
 
 void CallerSession::onBytes(std::string_view bytes)
@@ -141,8 +143,8 @@
         parse(bytes);
         return;
     }
-    early_.append(bytes);
-    if (early_.size() > earlyBytesLimit) {
+    pipelined_.append(bytes);
+    if (pipelined_.size() > maxPipelinedBytes) {
         tcp_->pauseReading();
     }
 }
@@ -172,8 +174,8 @@
     if (equalsIgnoringCase(head_.find("Expect"), "100-continue") && bodyBytes != 0) {
         tcp_->send("HTTP/1.1 100 Continue\r\n\r\n");
     }
-    const std::uint64_t expected = bodyBytes.value_or(limits_.bodyBytes);
-    armTimer(limits_.headTimeout * static_cast<std::int64_t>(1 + expected / megabyte));
+    const std::uint64_t expectedBytes = bodyBytes.value_or(limits_.bodyBytes);
+    startTimer(limits_.headTimeout * static_cast<std::int64_t>(1 + expectedBytes / bytesPerHeadTimeout));
 }
 
 void CallerSession::onBody(std::string_view bytes)
@@ -189,7 +191,7 @@
 void CallerSession::parse(std::string_view bytes)
 {
     if (isIdle()) {
-        armTimer(limits_.headTimeout);
+        startTimer(limits_.headTimeout);
     }
     Reason reason;
     if (!parser_.read(bytes, reason)) {
@@ -214,25 +216,25 @@
     }
     limits_ = gateway_.callerLimits();
     parser_.setLimits({limits_.headBytes, limits_.bodyBytes});
-    armTimer(limits_.idleTimeout);
+    startTimer(limits_.idleTimeout);
     Reason reason;
     if (!parser_.startNext(reason)) {
         refuse(reason);
         return;
     }
-    const std::string early = std::exchange(early_, {});
+    const std::string pipelined = std::exchange(pipelined_, {});
     if (isRequestComplete_) {
-        early_ = early;
+        pipelined_ = pipelined;
         parse({});
-    } else if (!early.empty()) {
-        parse(early);
+    } else if (!pipelined.empty()) {
+        parse(pipelined);
     }
-    if (early_.size() <= earlyBytesLimit && !isClosed_) {
+    if (pipelined_.size() <= maxPipelinedBytes && !isClosed_) {
         tcp_->resumeReading();
     }
 }
 
-/// A message that can't be read gets its status and a closed connection: where the next message begins is not known.
+/// Answers a malformed or late request with an error status and closes the connection, as the start of the next request is unknown.
 void CallerSession::refuse(const Reason &reason)
 {
     closesAfterAnswer_ = true;
@@ -253,9 +255,9 @@
     gateway_.onSessionEnded(self);
 }
 
-void CallerSession::armTimer(Duration wait)
+void CallerSession::startTimer(Duration timeout)
 {
-    timer_.expires_after(wait);
+    timer_.expires_after(timeout);
     timer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         const auto self = weak.lock();
         if (!error && self != nullptr) {
@@ -269,8 +271,9 @@
     if (isClosed_ || request_ != nullptr) {
         return;
     }
-    // A loop that stood still finds bytes and the end of the time for them at once. Reading them sets the timer anew, but can't call
-    // this handler back: a caller whose request has just begun would be refused as too slow.
+    // After a pause of the event loop, received bytes and the expired timer are handled in the same iteration. Reading the bytes restarts the
+    // timer but can't cancel this handler, which is queued already. Without this check, a caller whose request has just begun would be
+    // refused as too slow.
     if (timer_.expiry() > boost::asio::steady_timer::clock_type::now()) {
         return;
     }
@@ -278,14 +281,14 @@
         refuse({ResultCode::CallerTooSlow, "request did not arrive in time"});
         return;
     }
-    // Bytes that wait to be read set the timer anew. Closed with a request unread, the connection would be reset, and the caller couldn't
-    // know whether the request ran.
+    // Bytes that are waiting in the kernel will restart the timer when they are read. Closing the connection with an unread request would
+    // reset it, and the caller could not tell whether the request ran.
     if (tcp_->isQuiet()) {
         close();
     }
 }
 
-bool CallerSession::keepsConnection() const
+bool CallerSession::mayKeepConnection() const
 {
     return !gateway_.isDraining();
 }
--- a/gateway/caller_session.h
+++ b/gateway/caller_session.h
@@ -17,7 +17,8 @@
 class Gateway;
 class RoutedRequest;
 
-/// One caller's connection: reads requests one after another, keeps the limits on their size and time, and writes the answers.
+/// An HTTP connection from a caller. Reads its requests one at a time, enforces the limits on their size and arrival time, and writes the
+/// answers.
 class CallerSession final : public std::enable_shared_from_this<CallerSession>, private TcpEvents, private HttpEvents
 {
 public:
@@ -25,21 +26,22 @@
 
     void start();
 
-    /// Begins an answer. With a length it is framed by it, otherwise by chunks, or by the connection's end for HTTP/1.0.
-    /// `fields` are lines that end in CRLF.
+    /// Prepares the head of an answer; it is sent with the first bytes of the body. `fields` are header lines, each ending in CRLF. Without
+    /// `bodyBytes` the body is sent in chunks, or to an HTTP/1.0 caller until the connection closes.
     void beginAnswer(int status, std::string_view fields, std::optional<std::size_t> bodyBytes);
     void sendBody(std::string_view bytes);
 
-    /// The answer is complete. The connection is kept if the caller and the state of this host allow it.
+    /// Completes the answer. The connection is kept open unless the caller asked to close it, the answer's framing requires closing it, or
+    /// this host is shutting down.
     void finishAnswer();
 
-    /// The answer can't be completed: the connection is closed so that what was sent doesn't look whole.
+    /// Closes the connection without completing the answer, so that the caller can't take the part already sent for a complete one.
     void abortAnswer();
 
-    /// Bytes of the answer that the caller has not taken yet.
+    /// Bytes of the answer that the kernel has not accepted yet because the caller reads slowly.
     std::size_t unsent() const;
 
-    /// Closes the connection if no request is on it or arriving.
+    /// Closes the connection unless a request is arriving or being processed.
     void closeIfIdle();
 
     bool isIdle() const;
@@ -56,21 +58,21 @@
     void startNextRequest();
     void refuse(const Reason &reason);
     void close();
-    void armTimer(Duration wait);
+    void startTimer(Duration timeout);
     void onTimer();
-    bool keepsConnection() const;
+    bool mayKeepConnection() const;
 
     Gateway &gateway_;
-    std::optional<TcpConnection::Socket> accepted_;
+    std::optional<TcpConnection::Socket> acceptedSocket_;
     std::shared_ptr<TcpConnection> tcp_;
     HttpParser parser_;
     boost::asio::steady_timer timer_;
     CallerLimits limits_;
     HttpHead head_;
     std::string body_;
-    std::string unsentHead_; ///< Goes out with the first bytes of the body, which saves a call.
+    std::string unsentHead_; ///< Sent together with the first bytes of the body, which saves a system call.
     std::shared_ptr<RoutedRequest> request_;
-    std::string early_; ///< Bytes that came while a request was being answered.
+    std::string pipelined_; ///< Bytes received while the previous request was being answered.
     bool isChunked_ = false;
     bool isAnswering_ = false;
     bool closesAfterAnswer_ = false;
--- a/gateway/target_connection.cpp
+++ b/gateway/target_connection.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-/// For targets that don't say how long they keep an idle connection: short enough for the usual defaults, of which 5 s is the least.
-constexpr Duration assumedKeepAlive = std::chrono::seconds(5);
+/// Used for targets that don't send a Keep-Alive header. 5 s is the shortest of the usual defaults of HTTP servers.
+constexpr Duration defaultKeepAlive = std::chrono::seconds(5);
 
 constexpr int firstFinalStatus = 200;
-constexpr std::size_t answerHeadLimit = 65'536;
+constexpr std::size_t maxAnswerHeadBytes = 65'536;
 
 } // namespace
 
@@ -20,8 +20,8 @@
     : targetId_(std::move(targetId))
     , protocol_(protocol)
     , owner_(owner)
-    , parser_(HttpMessageKind::Answer, {answerHeadLimit, 0}, *this)
-    , keepAlive_(assumedKeepAlive)
+    , parser_(HttpMessageKind::Answer, {maxAnswerHeadBytes, 0}, *this)
+    , keepAlive_(defaultKeepAlive)
 {
 }
 
@@ -35,14 +35,14 @@
     events_ = &events;
     requestId_ = std::move(requestId);
     requestBytes_ = bytes.size();
-    pending_ = std::move(bytes);
-    isSkipping_ = false;
+    pendingRequest_ = std::move(bytes);
+    isDiscarding_ = false;
     if (!hasAnswerBody) {
         parser_.expectNoBody();
         isReusable_ = false;
     }
     if (isConnected_) {
-        sendPending();
+        sendPendingRequest();
     }
 }
 
@@ -94,7 +94,7 @@
     const auto self = shared_from_this();
     isConnected_ = true;
     if (events_ != nullptr) {
-        sendPending();
+        sendPendingRequest();
     }
 }
 
@@ -102,12 +102,12 @@
 {
     const auto self = shared_from_this();
     if (events_ == nullptr) {
-        // Bytes that nobody asked for: a late or doubled answer.
+        // Unsolicited bytes: a late or duplicate answer.
         tcp_->close();
         owner_.onIdleClosed(self);
         return;
     }
-    readOn(bytes);
+    parse(bytes);
 }
 
 void TargetConnection::onClosed(bool isReset)
@@ -119,22 +119,22 @@
     }
     if (!isReset && parser_.readEnd()) {
         isReusable_ = false;
-        complete();
+        finish();
         return;
     }
-    const bool isUnsent = !isConnected_ || tcp_->unsent() >= requestBytes_;
-    lose(isUnsent ? TargetLoss::NotSent : TargetLoss::MayHaveRun, isConnected_ ? (isReset ? "reset" : "closed") : "not connected");
+    const bool isRequestUnsent = !isConnected_ || tcp_->unsent() >= requestBytes_;
+    fail(isRequestUnsent ? TargetLoss::NotSent : TargetLoss::MayHaveRun, isConnected_ ? (isReset ? "reset" : "closed") : "not connected");
 }
 
 void TargetConnection::onHead(HttpHead &&head, std::optional<std::uint64_t> /*bodyBytes*/)
 {
     const AnswerFacts facts = protocol_.readAnswer(head);
-    isSkipping_ = head.status < firstFinalStatus || facts.requestId != requestId_;
-    if (isSkipping_) {
+    isDiscarding_ = head.status < firstFinalStatus || facts.requestId != requestId_;
+    if (isDiscarding_) {
         isReusable_ = isReusable_ && head.status < firstFinalStatus;
         return;
     }
-    noteKeepAlive(head);
+    updateKeepAlive(head);
     isReusable_ = isReusable_ && head.version == 11 && !head.hasToken("Connection", "close");
     if (events_ != nullptr) {
         events_->onAnswerHead(std::move(head), facts);
@@ -143,7 +143,7 @@
 
 void TargetConnection::onBody(std::string_view bytes)
 {
-    if (!isSkipping_ && events_ != nullptr) {
+    if (!isDiscarding_ && events_ != nullptr) {
         events_->onAnswerBody(bytes);
     }
 }
@@ -152,38 +152,38 @@
 {
 }
 
-void TargetConnection::sendPending()
+void TargetConnection::sendPendingRequest()
 {
     hasSentRequest_ = true;
-    tcp_->send(pending_);
-    pending_.clear();
+    tcp_->send(pendingRequest_);
+    pendingRequest_.clear();
 }
 
-void TargetConnection::readOn(std::string_view bytes)
+void TargetConnection::parse(std::string_view bytes)
 {
     Reason reason;
-    bool isReadable = parser_.read(bytes, reason);
-    while (isReadable && events_ != nullptr && parser_.isComplete() && isSkipping_) {
-        isReadable = parser_.startNext(reason);
+    bool isValid = parser_.read(bytes, reason);
+    while (isValid && events_ != nullptr && parser_.isComplete() && isDiscarding_) {
+        isValid = parser_.startNext(reason);
     }
     if (events_ == nullptr) {
         return;
     }
-    if (!isReadable) {
-        lose(TargetLoss::MayHaveRun, "malformed answer");
+    if (!isValid) {
+        fail(TargetLoss::MayHaveRun, "malformed answer");
     } else if (parser_.isComplete()) {
-        complete();
+        finish();
     }
 }
 
-void TargetConnection::complete()
+void TargetConnection::finish()
 {
     ExchangeEvents *events = events_;
     events_ = nullptr;
-    // An answer that came before the whole request was sent leaves the connection in the middle of that request.
-    const bool isClean = isReusable_ && parser_.keptBytes() == 0 && tcp_->unsent() == 0;
+    // If the answer arrived before the whole request was sent, the target would read the next request as the rest of this one.
+    const bool isConnectionReusable = isReusable_ && parser_.keptBytes() == 0 && tcp_->unsent() == 0;
     Reason reason;
-    if (isClean && parser_.startNext(reason)) {
+    if (isConnectionReusable && parser_.startNext(reason)) {
         idleSince_ = BootClock::now();
         owner_.onIdle(shared_from_this());
     } else {
@@ -192,14 +192,14 @@
     events->onAnswerEnd();
 }
 
-void TargetConnection::lose(TargetLoss loss, std::string_view why)
+void TargetConnection::fail(TargetLoss loss, std::string_view why)
 {
     ExchangeEvents *events = events_;
     abort();
     events->onTargetLost(loss, why);
 }
 
-void TargetConnection::noteKeepAlive(const HttpHead &head)
+void TargetConnection::updateKeepAlive(const HttpHead &head)
 {
     const std::string_view value = head.find("Keep-Alive");
     constexpr std::string_view name = "timeout=";
--- a/gateway/target_connection.h
+++ b/gateway/target_connection.h
@@ -11,14 +11,14 @@
 namespace Lovageloft
 {
 
-/// How far a request had come when its target was lost. The difference decides whether another target may have it.
+/// How far a request got before the connection to its target failed. Decides whether it may be sent to another target.
 enum class TargetLoss : std::uint8_t
 {
     NotSent, ///< No byte of the request can have reached the target.
-    MayHaveRun,
+    MayHaveRun, ///< Part or all of the request was sent.
 };
 
-/// What one exchange with a target tells the request that it belongs to. Nothing follows the last two.
+/// Receives the events of one exchange with a target. onAnswerEnd() or onTargetLost() is the last one.
 class ExchangeEvents
 {
 public:
@@ -33,15 +33,15 @@
     virtual void onTargetLost(TargetLoss loss, std::string_view why) = 0;
 };
 
-/// One HTTP connection to one target that carries one exchange after another.
+/// A persistent HTTP connection to a target that carries one exchange at a time.
 ///
-/// What goes wrong on kept connections: a target sends a second answer to an earlier request, which would be taken for the
-/// answer to the next one and give a caller what belongs to another. So an answer must bear the id of the request that
-/// waits; any other is read and dropped, and the connection is not used again.
+/// A faulty target may send a second answer to an earlier request. If it were taken as the answer to the next request, a caller would get
+/// data that belongs to another. An answer must therefore carry the id of the current request. Any other answer is discarded, and the
+/// connection is not reused.
 class TargetConnection final : public std::enable_shared_from_this<TargetConnection>, private TcpEvents, private HttpEvents
 {
 public:
-    /// Hears of connections that can be used again and of idle ones that ended.
+    /// Notified when a connection becomes idle and can be reused, and when an idle connection was closed.
     class Owner
     {
     public:
@@ -54,26 +54,28 @@
 
     void connect(boost::asio::io_context &loop, const HostAddress &address, Duration timeout);
 
-    /// Sends a request once the connection stands. `requestId` is what its answer must bear.
+    /// Sends a request as soon as the connection is established. Its answer must carry `requestId`. `hasAnswerBody` is false for requests,
+    /// such as HEAD, whose answer has no body whatever its header says.
     void sendRequest(std::string bytes, std::string requestId, bool hasAnswerBody, ExchangeEvents &events);
 
-    /// Gives the exchange up: the connection is closed, by which most targets drop the request.
+    /// Aborts the exchange by closing the connection, which makes most targets cancel the request. No event follows.
     void abort();
 
     void pauseReading();
     void resumeReading();
 
-    /// Whether nothing has come since the last answer. To be asked right before an idle connection is used.
+    /// Whether the connection is still open and nothing was received since the last answer. Must be checked right before an idle connection
+    /// is reused.
     bool isQuiet();
 
     const std::string &targetId() const;
 
-    /// How long the target keeps the connection when idle.
+    /// How long the target keeps the connection open while idle: as its Keep-Alive header says, or a default.
     Duration keepAlive() const;
 
     TimePoint idleSince() const;
 
-    /// Whether a request was sent on it before.
+    /// Whether a request was sent on this connection before.
     bool hasSentRequest() const;
 
 private:
@@ -84,11 +86,11 @@
     void onBody(std::string_view bytes) override;
     void onEnd() override;
 
-    void sendPending();
-    void readOn(std::string_view bytes);
-    void complete();
-    void lose(TargetLoss loss, std::string_view why);
-    void noteKeepAlive(const HttpHead &head);
+    void sendPendingRequest();
+    void parse(std::string_view bytes);
+    void finish();
+    void fail(TargetLoss loss, std::string_view why);
+    void updateKeepAlive(const HttpHead &head);
 
     std::string targetId_;
     const TargetProtocol &protocol_;
@@ -96,12 +98,12 @@
     std::shared_ptr<TcpConnection> tcp_;
     HttpParser parser_;
     ExchangeEvents *events_ = nullptr; ///< Null while idle.
-    std::string pending_; ///< A request that waits for the connection to stand.
+    std::string pendingRequest_; ///< Sent when the connection is established.
     std::string requestId_;
     std::size_t requestBytes_ = 0;
     bool isConnected_ = false;
     bool hasSentRequest_ = false;
-    bool isSkipping_ = false; ///< The message being read is no answer to the request that waits.
+    bool isDiscarding_ = false; ///< The message being read is not the final answer to the current request.
     bool isReusable_ = true;
     Duration keepAlive_;
     TimePoint idleSince_;
--- a/gateway/target_pool.cpp
+++ b/gateway/target_pool.cpp
@@ -8,15 +8,16 @@
 namespace
 {
 
-/// Hosts and targets are about a millisecond apart; a target that hasn't accepted after this is cut off or overrun.
+/// The network latency between hosts and targets is about a millisecond. A target that does not accept within this time is unreachable or
+/// overloaded.
 constexpr Duration connectTimeout = std::chrono::milliseconds(400);
 
-/// Parts of the time that a target keeps an idle connection, up to which it is used again.
-constexpr int repeatableParts = 7;
-constexpr int onceParts = 5;
-constexpr int wholeParts = 10;
+/// An idle connection is reused until it was idle for this many tenths of the time for which the target keeps it open.
+constexpr int idempotentTenths = 7;
+constexpr int nonIdempotentTenths = 5;
+constexpr int tenthsPerUnit = 10;
 
-constexpr std::size_t idlePerTarget = 8;
+constexpr std::size_t maxIdlePerTarget = 8;
 
 } // namespace
 
@@ -26,13 +27,13 @@
 {
 }
 
-std::shared_ptr<TargetConnection> TargetPool::acquire(const Target &target, bool isRepeatable, TimePoint now)
+std::shared_ptr<TargetConnection> TargetPool::acquire(const Target &target, bool isIdempotent, TimePoint now)
 {
-    Idle &idle = idle_[target.id];
+    IdleConnections &idle = idle_[target.id];
     while (!idle.empty()) {
         auto connection = idle.back();
         const Duration age = now - connection->idleSince();
-        if (age > connection->keepAlive() * (isRepeatable ? repeatableParts : onceParts) / wholeParts) {
+        if (age > connection->keepAlive() * (isIdempotent ? idempotentTenths : nonIdempotentTenths) / tenthsPerUnit) {
             break;
         }
         idle.pop_back();
@@ -51,7 +52,7 @@
 {
     for (auto &[id, idle] : idle_) {
         std::erase_if(idle, [now](const auto &connection) {
-            const bool isStale = now - connection->idleSince() > connection->keepAlive() * repeatableParts / wholeParts;
+            const bool isStale = now - connection->idleSince() > connection->keepAlive() * idempotentTenths / tenthsPerUnit;
             if (isStale) {
                 connection->abort();
             }
@@ -84,8 +85,8 @@
 
 void TargetPool::onIdle(const std::shared_ptr<TargetConnection> &connection)
 {
-    Idle &idle = idle_[connection->targetId()];
-    if (idle.size() >= idlePerTarget) {
+    IdleConnections &idle = idle_[connection->targetId()];
+    if (idle.size() >= maxIdlePerTarget) {
         connection->abort();
         return;
     }
--- a/gateway/target_pool.h
+++ b/gateway/target_pool.h
@@ -11,34 +11,35 @@
 namespace Lovageloft
 {
 
-/// Kept connections to the targets. A new connection costs a target a handshake and counts against what it accepts from all hosts.
+/// A pool of persistent connections to targets. Reuse saves the target a handshake per request, and new connections count against the limit
+/// that a target has for connections from all hosts.
 class TargetPool final : private TargetConnection::Owner
 {
 public:
     TargetPool(boost::asio::io_context &loop, const TargetProtocol &protocol);
 
-    /// A connection for one exchange: an idle one or a new one. `isRepeatable` tells whether the request could be sent again:
-    /// one that can't only gets a connection that the target will keep for a good while, as a close that crosses the request leaves
-    /// open whether it ran.
-    std::shared_ptr<TargetConnection> acquire(const Target &target, bool isRepeatable, TimePoint now);
+    /// Returns an idle or a new connection for one exchange. If the request is not idempotent, an idle connection is used only if the target
+    /// will keep it open for some more time: if the target closed the connection while the request was on its way, it would be unknown
+    /// whether the request ran.
+    std::shared_ptr<TargetConnection> acquire(const Target &target, bool isIdempotent, TimePoint now);
 
-    /// Closes what has been idle too long.
+    /// Closes connections that were idle for too long to be reused.
     void closeStale(TimePoint now);
 
-    /// Closes the idle connections to targets that are no longer listed.
+    /// Closes the idle connections to targets that are not in `targets`.
     void closeUnlisted(const TargetMap &targets);
 
     std::size_t idleCount() const;
 
 private:
-    using Idle = std::vector<std::shared_ptr<TargetConnection>>;
+    using IdleConnections = std::vector<std::shared_ptr<TargetConnection>>;
 
     void onIdle(const std::shared_ptr<TargetConnection> &connection) override;
     void onIdleClosed(const std::shared_ptr<TargetConnection> &connection) override;
 
     boost::asio::io_context &loop_;
     const TargetProtocol &protocol_;
-    std::map<std::string, Idle, std::less<>> idle_; ///< The one used last at the back.
+    std::map<std::string, IdleConnections, std::less<>> idle_; ///< By target id; the most recently used connection is last.
 };
 
 } // namespace Lovageloft
