--- a/gateway/event_splitter.cpp
+++ b/gateway/event_splitter.cpp
@@ -7,21 +7,21 @@
 
 std::string_view EventSplitter::push(std::string_view bytes)
 {
-    buffer_.erase(0, handedOut_);
+    buffer_.erase(0, returnedBytes_);
     buffer_.append(bytes);
-    handedOut_ = 0;
+    returnedBytes_ = 0;
     while (true) {
-        const std::size_t unix = buffer_.find("\n\n", handedOut_);
-        const std::size_t windows = buffer_.find("\r\n\r\n", handedOut_);
-        const std::size_t end = std::min(unix, windows);
+        const std::size_t lfEnd = buffer_.find("\n\n", returnedBytes_);
+        const std::size_t crlfEnd = buffer_.find("\r\n\r\n", returnedBytes_);
+        const std::size_t end = std::min(lfEnd, crlfEnd);
         if (end == std::string::npos) {
             break;
         }
-        const std::size_t next = end + (end == windows ? 4 : 2);
-        noteId(std::string_view(buffer_).substr(handedOut_, next - handedOut_));
-        handedOut_ = next;
+        const std::size_t next = end + (end == crlfEnd ? 4 : 2);
+        updateLastId(std::string_view(buffer_).substr(returnedBytes_, next - returnedBytes_));
+        returnedBytes_ = next;
     }
-    return std::string_view(buffer_).substr(0, handedOut_);
+    return std::string_view(buffer_).substr(0, returnedBytes_);
 }
 
 const std::string &EventSplitter::lastId() const
@@ -31,16 +31,16 @@
 
 bool EventSplitter::hasPartial() const
 {
-    return buffer_.size() > handedOut_;
+    return buffer_.size() > returnedBytes_;
 }
 
 void EventSplitter::dropPartial()
 {
     buffer_.clear();
-    handedOut_ = 0;
+    returnedBytes_ = 0;
 }
 
-void EventSplitter::noteId(std::string_view event)
+void EventSplitter::updateLastId(std::string_view event)
 {
     constexpr std::string_view field = "id:";
     while (!event.empty()) {
--- a/gateway/event_splitter.h
+++ b/gateway/event_splitter.h
@@ -6,28 +6,28 @@
 namespace Lovageloft
 {
 
-/// Cuts a stream of server-sent events into whole events, so that a caller never sees half of one: an engine may stop in the middle
-/// of an event, and another one that carries the stream on begins with the next whole one.
+/// Splits a stream of server-sent events into whole events, so that a caller never receives a partial one. An engine may fail in the middle
+/// of an event; the engine that continues the stream begins with the next whole event.
 class EventSplitter
 {
 public:
-    /// Takes bytes and returns those of all events that are whole now; the view holds until the next call.
+    /// Appends `bytes` and returns all events that are complete now. The view is valid until the next call.
     std::string_view push(std::string_view bytes);
 
-    /// The id of the last whole event; empty if none had one.
+    /// The `id` field of the last complete event that had one; empty if none had.
     const std::string &lastId() const;
 
-    /// Whether bytes of an event wait for its end.
+    /// Whether an incomplete event is buffered.
     bool hasPartial() const;
 
-    /// Drops a partial event: the stream goes on elsewhere.
+    /// Drops an incomplete event, as another engine continues the stream.
     void dropPartial();
 
 private:
-    void noteId(std::string_view event);
+    void updateLastId(std::string_view event);
 
     std::string buffer_;
-    std::size_t handedOut_ = 0;
+    std::size_t returnedBytes_ = 0;
     std::string lastId_;
 };
 
--- a/gateway/gauges.h
+++ b/gateway/gauges.h
@@ -7,7 +7,7 @@
 
 class Gateway;
 
-/// Brings the gauges up to what a gateway holds now, and the counters of its log. For the event loop only.
+/// Updates the gauges to the current state of a gateway, and the counters of log lines. For use on the event loop only.
 void updateGauges(Metrics &metrics, const Gateway &gateway);
 
 } // namespace Lovageloft
--- a/gateway/operator_view.cpp
+++ b/gateway/operator_view.cpp
@@ -20,23 +20,23 @@
 constexpr int ok = 200;
 constexpr int notFound = 404;
 
-Object::Ptr ordered()
+Object::Ptr makeObject()
 {
     return new Object(Poco::JSON_PRESERVE_KEY_ORDER);
 }
 
-std::string textOf(const Object &object)
+std::string toText(const Object &object)
 {
     std::ostringstream out;
     object.stringify(out);
     return out.str();
 }
 
-std::string tableOf(const char *name, const Array::Ptr &rows)
+std::string makeTable(const char *name, const Array::Ptr &rows)
 {
-    Object::Ptr answer = ordered();
+    Object::Ptr answer = makeObject();
     answer->set(name, rows);
-    return textOf(*answer);
+    return toText(*answer);
 }
 
 } // namespace
@@ -48,22 +48,22 @@
 
 StatusAnswer OperatorView::answer(std::string_view path) const
 {
-    struct Row
+    struct Route
     {
         std::string_view path;
         std::string (OperatorView::*answer)() const;
     };
 
-    static constexpr auto rows = std::to_array<Row>({
+    static constexpr auto routes = std::to_array<Route>({
         {"/operator/status", &OperatorView::status},
         {"/operator/teams", &OperatorView::teams},
         {"/operator/targets", &OperatorView::targets},
         {"/operator/hosts", &OperatorView::hosts},
         {"/operator/leader", &OperatorView::leader},
     });
-    for (const Row &row : rows) {
-        if (row.path == path) {
-            return {ok, (this->*row.answer)(), "application/json"};
+    for (const Route &route : routes) {
+        if (route.path == path) {
+            return {ok, (this->*route.answer)(), "application/json"};
         }
     }
     return {notFound, "not found\n"};
@@ -73,7 +73,7 @@
 {
     const TimePoint now = BootClock::now();
     const auto table = gateway_.table();
-    Object::Ptr status = ordered();
+    Object::Ptr status = makeObject();
     status->set("host", gateway_.hostName());
     status->set("phase", gateway_.isDraining() ? "draining" : "serving");
     status->set("ready", gateway_.isReady(now));
@@ -86,7 +86,7 @@
     status->set("hosts", gateway_.hosts().size());
     status->set("share", gateway_.share());
     status->set("leader", gateway_.leader());
-    return textOf(*status);
+    return toText(*status);
 }
 
 std::string OperatorView::teams() const
@@ -94,21 +94,21 @@
     Array::Ptr rows = new Array;
     const auto table = gateway_.table();
     for (const Team &team : table != nullptr ? table->teams : std::vector<Team>{}) {
-        Object::Ptr row = ordered();
+        Object::Ptr row = makeObject();
         row->set("team", team.name);
         row->set("rate", team.rate);
         row->set("burst", team.burst);
         row->set("isolated", team.isIsolated);
         rows->add(row);
     }
-    return tableOf("teams", rows);
+    return makeTable("teams", rows);
 }
 
 std::string OperatorView::targets() const
 {
     Array::Ptr rows = new Array;
     for (const auto &[id, target] : gateway_.targets().all()) {
-        Object::Ptr row = ordered();
+        Object::Ptr row = makeObject();
         const bool hasModel = !target.models.empty();
         row->set("target", id);
         row->set("service", target.service);
@@ -119,28 +119,28 @@
         row->set("state", target.isLeaving ? "leaving" : "serving");
         rows->add(row);
     }
-    return tableOf("targets", rows);
+    return makeTable("targets", rows);
 }
 
 std::string OperatorView::hosts() const
 {
     Array::Ptr rows = new Array;
     for (const auto &[name, record] : gateway_.hosts()) {
-        Object::Ptr row = ordered();
+        Object::Ptr row = makeObject();
         row->set("host", name);
         row->set("peer_address", hostAddressText(record.address));
         row->set("data_centre", record.dataCentre);
         rows->add(row);
     }
-    return tableOf("hosts", rows);
+    return makeTable("hosts", rows);
 }
 
 std::string OperatorView::leader() const
 {
-    Object::Ptr answer = ordered();
+    Object::Ptr answer = makeObject();
     answer->set("leader", gateway_.leader());
     answer->set("told_by", gateway_.hostName());
-    return textOf(*answer);
+    return toText(*answer);
 }
 
 } // namespace Lovageloft
--- a/gateway/operator_view.h
+++ b/gateway/operator_view.h
@@ -10,14 +10,14 @@
 
 class Gateway;
 
-/// What operators may read of a running host, as JSON objects that `lovageloftctl` prints: its status, teams, targets and hosts, and who
-/// leads. Nothing of it names a key or a prompt, so it needs none itself. For the event loop only.
+/// The state of a running host for operators, as JSON objects that `lovageloftctl` prints: its status, teams, targets, hosts and the leader.
+/// No API key is required to read them, as they contain no keys and no prompts. For use on the event loop only.
 class OperatorView
 {
 public:
     explicit OperatorView(const Gateway &gateway);
 
-    /// The answer to a call; 404 for a path that names none.
+    /// Answers a request for `path`; with 404 if the path is unknown.
     StatusAnswer answer(std::string_view path) const;
 
 private:
--- a/gateway/status_server.cpp
+++ b/gateway/status_server.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// Connections that wait to be accepted. After a herd of restarts all clients connect within a moment, and a full queue
-/// costs each of them a second.
+/// Length of the queue of connections that wait to be accepted. When many hosts restart, all clients reconnect at about the same time, and
+/// a full queue delays each of them by a second.
 constexpr int listenBacklog = 1'024;
 
 } // namespace
@@ -68,7 +68,7 @@
 
     void answer()
     {
-        const StatusAnswer answer = server_.answer_(path_);
+        const StatusAnswer answer = server_.handler_(path_);
         std::string out = "HTTP/1.1 " + std::to_string(answer.status) + ' ' + std::string(statusText(answer.status)) + "\r\n";
         appendField(out, "Content-Type", answer.contentType);
         appendField(out, "Content-Length", std::to_string(answer.body.size()));
@@ -82,9 +82,9 @@
     std::string path_;
 };
 
-StatusServer::StatusServer(boost::asio::io_context &loop, Answer answer)
+StatusServer::StatusServer(boost::asio::io_context &loop, Handler handler)
     : acceptor_(loop)
-    , answer_(std::move(answer))
+    , handler_(std::move(handler))
 {
 }
 
--- a/gateway/status_server.h
+++ b/gateway/status_server.h
@@ -22,19 +22,20 @@
     std::string contentType = "text/plain; charset=utf-8";
 };
 
-/// Answers short questions about this host on an address of its own: readiness for the balancer, and metrics.
+/// A small HTTP server on an address of its own for information about this host: readiness for the load balancer, metrics, and the calls
+/// of operators.
 class StatusServer
 {
 public:
-    using Answer = std::function<StatusAnswer(std::string_view path)>;
+    using Handler = std::function<StatusAnswer(std::string_view path)>;
 
-    StatusServer(boost::asio::io_context &loop, Answer answer);
+    StatusServer(boost::asio::io_context &loop, Handler handler);
     ~StatusServer();
 
     bool open(const HostAddress &address, Reason &reason);
     void close();
 
-    /// The port as bound, for an address that takes any free one.
+    /// The bound TCP port; useful if the address has port 0.
     std::uint16_t port() const;
 
 private:
@@ -43,11 +44,11 @@
     void accept();
 
     boost::asio::ip::tcp::acceptor acceptor_;
-    Answer answer_;
+    Handler handler_;
     std::set<std::shared_ptr<Session>> sessions_;
 };
 
-/// Opens a listening socket; false if the address can't be had.
+/// Opens a listening socket. Returns false and sets `reason` if the address can't be bound.
 bool openListener(boost::asio::ip::tcp::acceptor &acceptor, const HostAddress &address, Reason &reason);
 
 } // namespace Lovageloft
