--- a/gateway/target_request.cpp
+++ b/gateway/target_request.cpp
@@ -18,7 +18,7 @@
         return request;
     }
     request.weightsVersion = gateway.targets().weightsVersionOf(send.target, intake.caller().model);
-    // What older weights computed must not be found by newer ones, nor one isolated team's by another.
+    // Cache entries computed with older weights must not be used with newer ones, nor those of an isolated team for another team.
     salt = std::to_string(request.weightsVersion) + '/' + intake.cacheScope();
     request.cacheSalt = salt;
     const Target *holder = send.holder.empty() ? nullptr : gateway.targets().find(send.holder);
