--- a/gateway/peer_socket.h
+++ b/gateway/peer_socket.h
@@ -41,7 +41,7 @@
     Duration duration{};
 };
 
-/// Asks the host that enforces a team's rate limit for tokens of it.
+/// Asks a home host of a team for tokens of the team's rate limit, see TeamBudget.
 struct TokenRequest
 {
     std::uint64_t id = 0;
