--- a/coordination/backoff.h
+++ b/coordination/backoff.h
@@ -18,6 +18,7 @@
     /// Returns the delay after one more failure: at random between half of the current delay and all of it.
     Duration nextDelay();
 
+    /// Starts again with the initial delay; to be called after a success.
     void reset();
 
 private:
--- a/coordination/broadcast_plan.h
+++ b/coordination/broadcast_plan.h
@@ -19,10 +19,10 @@
 /// Up to this many receivers, the sender sends to each of them directly.
 inline constexpr std::size_t maxDirectReceivers = 16;
 
-/// Plans which host sends to which, so that a broadcast reaches all receivers within two hops. `dataCentres` holds the number of each
-/// receiver's data centre.
+/// Plans which host sends to which, so that a broadcast reaches all receivers within two hops. `dataCentres[i]` is the index of the data
+/// centre of receiver i.
 ///
-/// Beyond maxDirectReceivers no host sends more than about the square root of their number of datagrams: if one host sent the changes of a
+/// With N receivers, N above maxDirectReceivers, no host sends many more than sqrt(N) datagrams: if one host sent the changes of a
 /// hundred engines to each of 300 hosts, it would fill a link of 20 Mbit/s for seconds. Datagrams for another data centre are forwarded within
 /// it, so that few copies cross. The forwarders are chosen at random for each broadcast, so that a dead one costs its receivers one datagram
 /// and not all.
--- a/coordination/candidacy.cpp
+++ b/coordination/candidacy.cpp
@@ -16,7 +16,8 @@
 /// Between two reads of a key that no host seems to acquire.
 constexpr Duration vacantPollInterval = std::chrono::seconds(2);
 
-/// The first two hosts also read a key that is held, so that the loss of a leader is detected even if no host reports it.
+/// The first two hosts also read a key that is held, so that the loss of a leader is detected even if no host reports it. From the
+/// second read on, vacantPollInterval is added to the interval.
 constexpr std::size_t monitoringRanks = 2;
 constexpr Duration heldPollInterval = std::chrono::seconds(20);
 
--- a/coordination/candidacy.h
+++ b/coordination/candidacy.h
@@ -12,13 +12,14 @@
 
 /// Decides when a host reads the leader key in order to acquire it. The hosts are ranked, and each waits a little longer than the one ranked
 /// before it. Otherwise hundreds of hosts would read the key, acquire a lease and write at the same moment when a leader is lost or a fleet
-/// starts.
+/// starts. The first two ranks also read a key that is held, in case no host reports the loss of its holder.
 class Candidacy
 {
 public:
     explicit Candidacy(const Random &random);
 
-    /// Sets this host's rank, 0 for the first; nothing if it is not among the ranked hosts. `hosts` is the number of all hosts.
+    /// Sets this host's rank, 0 for the first; nothing if it is not among the ranked hosts, which makes it read a vacant key after these, at a
+    /// random time. `hosts` is the number of all hosts.
     void setRank(std::optional<std::size_t> rank, std::size_t hosts, TimePoint now);
 
     /// Sets the host that is reported to hold the key; empty if none does.
--- a/coordination/crash_quarantine.h
+++ b/coordination/crash_quarantine.h
@@ -17,16 +17,16 @@
 struct CrashReport
 {
     RequestFingerprint request{};
-    std::uint64_t target = 0; ///< Hash of the target's name and start.
+    std::uint64_t target = 0; ///< Hash of the target's name and start time.
 };
 
-/// Prevents a request that crashes each target that runs it from crashing a whole fleet.
+/// Prevents a request that crashes each target that runs it, and that callers retry at any host, from crashing a whole fleet of targets.
 ///
-/// It is designed for a request that crashes each engine that begins to run it, and that callers retry at any host. No single host sees enough
-/// of the attempts to detect this, so each host reports a target that it lost with the request to the request's home hosts, which rendezvous
-/// hashing selects. A home host that received reports of `maxCrashes` different targets quarantines the request and notifies all hosts.
-/// Requests that were answered once, such as those that happened to run beside it, are not suspected. The number of entries is limited; the
-/// oldest are evicted first.
+/// No single host sees enough of the attempts to detect such a request. Each host therefore reports a target that it lost with the request to
+/// the request's home hosts, which rendezvous hashing selects. A home host that received reports of `maxCrashes` different targets, each
+/// within two minutes of the previous one, quarantines the request for ten minutes and notifies all hosts. Requests that were answered once,
+/// such as those that happened to run on the same targets at the same time, are not suspected. The number of entries is limited; the oldest
+/// are evicted first.
 class CrashQuarantine
 {
 public:
@@ -36,7 +36,8 @@
     /// Records that this host received an answer to the request, or the beginning of one.
     void noteAnswered(RequestFingerprint request);
 
-    /// Whether the loss of a target with this request is to be reported to its home hosts.
+    /// Whether the loss of a target with this request is to be reported to its home hosts: true unless this host recently received an answer
+    /// to the request, of which up to 8,192 are remembered.
     bool isSuspect(RequestFingerprint request) const;
 
     /// Counts a crash on a home host; returns whether the request has now crashed `maxCrashes` different targets.
--- a/coordination/host_lists.h
+++ b/coordination/host_lists.h
@@ -14,8 +14,8 @@
 namespace Lovageloft
 {
 
-/// The names of the hosts of which a majority is required. Until a change of the list is in force, some hosts use the previous list and
-/// some the new one, so that a majority of both lists is required.
+/// The names of the hosts of which a majority is required, to bring an entry into force or to confirm that there is no newer one. Until a
+/// change of the list is in force, some hosts use the previous list and some the new one, so that a majority of both lists is required.
 struct HostLists
 {
     std::vector<std::string> current;
@@ -39,8 +39,9 @@
     bool isCaughtUp = false; ///< False after a restart until the host has caught up from the store or from a majority.
 };
 
-/// The latest time for which a majority of every list has that time or a later one. `timeOf` returns the time of a host, or nothing for a
-/// host that does not count. Nothing if a list has no such majority, or if there is no list.
+/// Returns the latest time T such that in each list a majority of the hosts has a time of T or later. `timeOf` returns the time of a host, or
+/// nothing for a host without one. Empty if too few hosts of a list have a time, or if the current list is empty; an empty previous list is
+/// ignored.
 inline std::optional<TimePoint> majorityTime(const HostLists &lists, const std::function<std::optional<TimePoint>(const std::string &)> &timeOf)
 {
     if (lists.current.empty()) {
--- a/coordination/lease_holder.h
+++ b/coordination/lease_holder.h
@@ -23,8 +23,9 @@
 /// Acquires and holds one key of the store under a lease, so that one host at a time performs a duty. A state machine: each step makes at
 /// most one call to the store. The key's revision is the fencing token; each new holder gets a higher one.
 ///
-/// The deadline guards against a holder that is paused until its lease has expired and another host has taken over, and that then
-/// continues to act. The deadline therefore counts from when the last keep-alive was sent, and the holder checks it right before each action.
+/// The holder stops acting at a deadline, which lies LeaseOptions::margin before the expiry of the lease and counts from when the last
+/// keep-alive was sent. The deadline guards against a holder that is paused until its lease has expired and another host has taken over, and
+/// that then continues to act. The holder therefore checks isHeld() right before each action.
 class LeaseHolder
 {
 public:
@@ -41,16 +42,18 @@
     /// Whether this host may act under the lease at `now`.
     bool isHeld(TimePoint now) const;
 
-    /// The fencing token of the lease that is held; 0 if none is held.
+    /// The fencing token of the last acquired lease; 0 before the first one, after release(), and once step() has noticed a loss. It is no proof
+    /// that the lease is still held: call isHeld() before each action.
     std::int64_t token() const;
 
-    /// The time after which nothing that an earlier holder sent can still arrive, provided that messages take less than a lease's time to
-    /// live: the time of acquisition plus the time to live and the margin. Where every call is known to end sooner, LeaseOptions::settleTime
-    /// sets a shorter time. After a change of the store's era the earlier holder may not have noticed the change, so the expiry of its lease is
-    /// awaited in any case.
+    /// The time after which nothing that an earlier holder sent can still arrive: the time of acquisition plus LeaseOptions::settleTime. By
+    /// default that is the time to live plus the margin, which is enough if messages take less than a lease's time to live; a shorter time is
+    /// set where every call is known to end sooner. After a change of the store's era the earlier holder may not have noticed the change, so
+    /// the expiry of its lease is awaited in any case.
     TimePoint settledAt() const;
 
-    /// Stops acting at once, and deletes the key with the next step.
+    /// Stops acting at once, and deletes the key in the next step; a failed deletion is not repeated. After LeaseOptions::pollInterval this host
+    /// tries to acquire the key again. Does nothing if no lease is held, and does not stop an acquisition in progress.
     void release(TimePoint now);
 
 private:
--- a/coordination/membership.h
+++ b/coordination/membership.h
@@ -29,7 +29,7 @@
 {
     std::string host;
     std::string address; ///< "ADDRESS:PORT" of its peer server.
-    std::uint64_t incarnation = 0; ///< Higher after each restart and each refutation.
+    std::uint64_t incarnation = 0; ///< Higher after each restart and each refutation; 0 if the host is known only from the platform's list.
     MemberState state = MemberState::Alive;
 
     bool operator==(const MemberUpdate &) const = default;
@@ -39,7 +39,7 @@
 {
     Probe, ///< Asks the receiver for an ack.
     Ack, ///< The answer to a probe.
-    ProbeRequest, ///< Asks the receiver to probe `subject`: the link from the sender to that host may be down, and not the host.
+    ProbeRequest, ///< Asks the receiver to probe `subject`, in case only the link between the sender and that host is down.
 };
 
 /// One message between two hosts. The protocol tolerates lost, duplicated and reordered messages.
@@ -70,7 +70,7 @@
 {
     Duration probeInterval = std::chrono::seconds(1);
     Duration ackTimeout = std::chrono::milliseconds(300); ///< After this, other hosts are asked to probe. Links between data centres take some milliseconds.
-    std::size_t indirectProbes = 3; ///< With three, and one message in a hundred lost, a living host is suspected in none of a million probes.
+    std::size_t indirectProbes = 3; ///< With three, and one message in a hundred lost, about one in a million probes suspects a living host (2% x (4%)^3).
     Duration suspicionTimeout = std::chrono::seconds(5); ///< A host that is paused for less than this stays a member.
     std::size_t maxUpdateBytes = 1'000; ///< Maximum size of the updates in one message, so that it fits into one packet.
 };
--- a/coordination/memory_store.h
+++ b/coordination/memory_store.h
@@ -14,8 +14,8 @@
 namespace Lovageloft
 {
 
-/// An in-memory store for deployments of a single host and for tests; its contents are lost with the process. Thread-safe. The current
-/// time comes from the given function, so that tests control when leases expire.
+/// An in-memory store for deployments of a single host and for tests; its contents are lost with the process. Thread-safe. Leases expire by
+/// the time of the given function, so that tests control when that happens; the timeout of watch() is real time.
 class MemoryStore : public Store
 {
 public:
@@ -30,8 +30,8 @@
 
     std::shared_ptr<const Snapshot> snapshot();
 
-    /// Restores a snapshot: writes and leases since then are lost, and their revisions are assigned again. A watch from a revision that no
-    /// longer exists gets NotFound.
+    /// Restores a snapshot: writes and leases since then are lost, and their revisions are assigned again. era() stays 0. A watch from a
+    /// revision that no longer exists gets NotFound.
     void restore(const Snapshot &snapshot);
 
     /// Number of calls of restore().
--- a/coordination/request_fingerprint.h
+++ b/coordination/request_fingerprint.h
@@ -6,7 +6,7 @@
 namespace Lovageloft
 {
 
-/// Hash that identifies a request when it is repeated: of method, host, path, caller and body.
+/// Hash that identifies a request when it is repeated: of the HTTP method, the Host header, the path, the caller's key and the body.
 enum class RequestFingerprint : std::uint64_t
 {
 };
--- a/coordination/store.h
+++ b/coordination/store.h
@@ -19,7 +19,7 @@
     Ok,
     Conflict, ///< The key's revision was not the expected one; nothing was written.
     NotFound, ///< No such key or lease.
-    Unavailable, ///< No answer, and nothing was written: the call was not sent, or the store refused it.
+    Unavailable, ///< No result, and nothing was written: the call was not sent, the store refused it, or a read got no answer.
     AnswerLost, ///< The call was sent and no answer arrived: a write may or may not have taken effect.
 };
 
@@ -37,20 +37,21 @@
 {
     StoreStatus status = StoreStatus::Unavailable;
     StoreEntry entry;
-    Duration age{}; ///< How long before the call the reply was known to be true; above zero if another host asked the store.
+    Duration age{}; ///< Age of the reply at the start of the call: 0 if this host asked the store itself, more if another host did.
 };
 
-/// Reply to a list or a watch. `revision` is the store's revision that the reply reflects.
+/// Reply to a list or a watch. `revision` is the store's revision that the reply reflects. The last three members are set by a store that also
+/// receives changes and replies through other hosts; they stay at their defaults for a store that asks the service directly.
 struct StoreListReply
 {
     StoreStatus status = StoreStatus::Unavailable;
     std::vector<StoreEntry> entries; ///< Of a list: ascending by key. Of a watch: in the order of the writes.
     std::int64_t revision = 0;
-    Duration silence{}; ///< From a store that receives changes through other hosts: how long those were silent before the entries arrived.
-    Duration age{}; ///< From such a store: how long before the call the reply was known to be true.
+    Duration silence{}; ///< For how long nothing had been received before the entries: they may have been written at any time in it.
+    Duration age{}; ///< Age of the reply at the start of the call; 0 if it is not older than the call.
 
-    /// From such a store: how long the store had answered no host before the entries arrived, so that leases may have expired; nothing if
-    /// that is not known.
+    /// How long the service had answered no host before the entries arrived, so that leases may have expired; zero if there was no outage,
+    /// nothing if that is not known.
     std::optional<Duration> outage{};
 };
 
@@ -93,10 +94,11 @@
     /// Returns all keys that start with `prefix`.
     virtual StoreListReply list(std::string_view prefix) = 0;
 
-    /// Writes `value` if the key's revision is `expectedRevision` (0: the key must not exist). A `leaseId` of 0 attaches no lease.
+    /// Writes `value` if the key's revision is `expectedRevision` (0: the key must not exist); otherwise Conflict, also if the key was
+    /// deleted. A `leaseId` of 0 attaches no lease. If the lease has expired, nothing is written and the reply is NotFound.
     virtual StoreReply compareAndSwap(std::string_view key, std::int64_t expectedRevision, std::string_view value, std::int64_t leaseId = 0) = 0;
 
-    /// Deletes the key if its revision is `expectedRevision`.
+    /// Deletes the key if its revision is `expectedRevision`; otherwise Conflict, or NotFound if the key does not exist.
     virtual StoreReply compareAndDelete(std::string_view key, std::int64_t expectedRevision) = 0;
 
     /// Waits up to `timeout` for writes under `prefix` after `afterRevision`; Ok without entries if there were none. NotFound: the store
@@ -104,8 +106,13 @@
     /// watch can continue.
     virtual StoreListReply watch(std::string_view prefix, std::int64_t afterRevision, Duration timeout) = 0;
 
+    /// Creates a lease. The store may grant another time to live than requested; the reply has the granted one.
     virtual StoreLeaseReply grantLease(Duration timeToLive) = 0;
+
+    /// Restarts the time to live of a lease; NotFound if it has expired.
     virtual StoreLeaseReply keepAlive(std::int64_t leaseId) = 0;
+
+    /// Ends a lease and deletes the keys to which it is attached; NotFound if it has expired.
     virtual StoreLeaseReply revokeLease(std::int64_t leaseId) = 0;
 };
 
--- a/coordination/store_position.h
+++ b/coordination/store_position.h
@@ -13,7 +13,7 @@
 inline constexpr std::int64_t revisionsPerEra = std::int64_t{1} << revisionBits;
 inline constexpr std::int64_t maxEras = std::int64_t{1} << (62 - revisionBits);
 
-/// Combines an era and a revision. Zero means no revision and stays zero.
+/// Combines an era below maxEras and a revision below revisionsPerEra, which are not checked. Zero means no revision and stays zero.
 constexpr std::int64_t positionOf(std::int64_t era, std::int64_t revision)
 {
     return revision == 0 ? 0 : era * revisionsPerEra + revision;
--- a/coordination/version_report_table.h
+++ b/coordination/version_report_table.h
@@ -26,14 +26,15 @@
 /// A relayed report remains valid because it travels only in answers, never in unsolicited messages: the asking host subtracts the age from
 /// the time at which it SENT its question. The answer was created later than that, and the report was at most `age` old by then. So the host
 /// made its report after the resulting time, however long the answer took, and clocks of different hosts are never compared. Versions and
-/// ages are both rounded up: a report may count for less than it is worth, never for more. Not thread-safe.
+/// ages are both rounded up, so that a report may count for less than it is worth, never for more: with a version that is too high it counts
+/// only once the asking host itself holds that version, and with an age that is too high it expires sooner. Not thread-safe.
 class VersionReportTable
 {
 public:
     /// Unit of ages, which are rounded up at each relay; 254 units, about 4 s, cover the freshness window.
     static constexpr Duration ageUnit = std::chrono::milliseconds(16);
 
-    /// Sets the host list that was created by the entry `listVersion`. Reports collected under another list are dropped.
+    /// Sets the host list that was created by the entry `listVersion`, and drops all collected reports. To be called only if the list changed.
     void setHosts(std::int64_t listVersion, std::vector<std::string> hosts);
 
     /// The answer to a question that was received at `now`.
--- a/tests/coordination/faulty_store.h
+++ b/tests/coordination/faulty_store.h
@@ -12,8 +12,8 @@
 namespace Lovageloft
 {
 
-/// An in-memory store with the failures of the platform's: it is down, loses answers before or after a write takes effect, or applies a write
-/// whose answer was lost much later. Calls are made one after another, so that a seed reproduces a run.
+/// An in-memory store with the failures of the platform's: it is down, loses answers before or after a write takes effect, or loses the answer
+/// and applies the write much later. Calls are made one after another, so that a seed reproduces a run.
 class FaultyStore : public Store
 {
 public:
