--- a/coordination/in_force_tracker.cpp
+++ b/coordination/in_force_tracker.cpp
@@ -39,12 +39,12 @@
     lists_ = std::move(lists);
 }
 
-void InForceTracker::track(std::int64_t sequence, TimePoint now)
+void InForceTracker::track(std::int64_t sequence, TimePoint knownCommittedAt)
 {
     if (sequence <= inForceVersion_ || tracked_.contains(sequence)) {
         return;
     }
-    tracked_.emplace(sequence, now);
+    tracked_.emplace(sequence, knownCommittedAt);
     if (tracked_.size() > maxTrackedEntries) {
         tracked_.erase(tracked_.begin());
     }
@@ -61,7 +61,7 @@
     }
     host.versionHeld = report.versionHeld;
     host.isCaughtUp = report.isCaughtUp;
-    host.lastRequestSentAt = std::max(host.lastRequestSentAt, requestSentAt);
+    host.heldUntil = std::max(host.heldUntil, requestSentAt);
     if (!report.isCaughtUp) {
         return;
     }
@@ -108,11 +108,11 @@
             continue;
         }
         const auto since = host->second.heldSince.find(sequence);
-        if (since == host->second.heldSince.end() || host->second.lastRequestSentAt < since->second) {
+        if (since == host->second.heldSince.end() || host->second.heldUntil < since->second) {
             continue;
         }
         intervals.starts.push_back(since->second);
-        intervals.ends.push_back(host->second.lastRequestSentAt);
+        intervals.ends.push_back(host->second.heldUntil);
     }
     std::sort(intervals.starts.begin(), intervals.starts.end());
     std::sort(intervals.ends.begin(), intervals.ends.end());
--- a/coordination/in_force_tracker.h
+++ b/coordination/in_force_tracker.h
@@ -29,7 +29,7 @@
 
     /// Starts to track a committed entry; `now` is a time at which it was known to be committed. A newly started tracker is given the last
     /// entry of the log: once that is in force, so are all entries before it.
-    void track(std::int64_t sequence, TimePoint now);
+    void track(std::int64_t sequence, TimePoint knownCommittedAt);
 
     /// Records a host's own version report, never a relayed one: `requestSentAt` is when the request was sent and `responseReceivedAt` when
     /// the response arrived. The host that runs the tracker reports itself with both times equal.
@@ -55,7 +55,7 @@
         std::uint64_t incarnation = 0;
         std::int64_t versionHeld = 0;
         bool isCaughtUp = false;
-        TimePoint lastRequestSentAt; ///< The latest time at which this incarnation was known to hold its entries.
+        TimePoint heldUntil; ///< The latest time at which this incarnation was known to hold its entries.
         std::map<std::int64_t, TimePoint> heldSince; ///< For each tracked entry, the time at which this incarnation was first known to hold it.
     };
 
--- a/coordination/key_table.cpp
+++ b/coordination/key_table.cpp
@@ -15,7 +15,7 @@
 {
     for (const auto &[name, team] : state.teams()) {
         for (const KeyDigest &digest : team.keys) {
-            std::vector<Entry> &entries = digest.id.starts_with(idPrefix) ? entriesById_[digest.id] : entriesWithoutId_;
+            std::vector<Entry> &entries = digest.id.starts_with(idPrefix) ? entriesByPublicId_[digest.id] : entriesWithoutPublicId_;
             entries.push_back({digest, name});
         }
     }
@@ -25,10 +25,10 @@
 {
     const std::string_view id = publicId(key);
     if (id.empty()) {
-        return search(entriesWithoutId_, key);
+        return search(entriesWithoutPublicId_, key);
     }
-    const auto entries = entriesById_.find(std::string(id));
-    return search(entries == entriesById_.end() ? decoy_ : entries->second, key);
+    const auto entries = entriesByPublicId_.find(std::string(id));
+    return search(entries == entriesByPublicId_.end() ? decoy_ : entries->second, key);
 }
 
 std::string_view KeyTable::publicId(std::string_view key)
--- a/coordination/key_table.h
+++ b/coordination/key_table.h
@@ -47,8 +47,8 @@
 
     static std::optional<KeyMatch> search(const std::vector<Entry> &entries, std::string_view key);
 
-    std::unordered_map<std::string, std::vector<Entry>> entriesById_;
-    std::vector<Entry> entriesWithoutId_;
+    std::unordered_map<std::string, std::vector<Entry>> entriesByPublicId_;
+    std::vector<Entry> entriesWithoutPublicId_;
     std::vector<Entry> decoy_; ///< Searched for an unknown id, so that the response time doesn't reveal which ids exist.
 };
 
--- a/tests/coordination/test_configuration_log_store.cpp
+++ b/tests/coordination/test_configuration_log_store.cpp
@@ -22,7 +22,7 @@
     BOOST_TEST(ConfigurationLogStore(store, "p/").readInForce().value_or(-1) == 10);
 }
 
-BOOST_AUTO_TEST_CASE(recordingInForceIsRetriedAfterALostResponse)
+BOOST_AUTO_TEST_CASE(recordingInForceCanBeRepeatedAfterALostResponse)
 {
     // The write takes effect and its response is lost. If a host treated this as done, or gave up, a host that starts alone would not learn
     // what is in force.
