--- a/coordination/change_log.h
+++ b/coordination/change_log.h
@@ -11,23 +11,24 @@
 namespace Lovageloft
 {
 
-/// The latest changes under one prefix of the store, kept for other hosts that missed some of them. Limited in number of entries and in
-/// bytes of values; the oldest entries are evicted first.
+/// The latest changes under one prefix of the store, kept for other hosts that missed some of them. Limited to 1,024 entries
+/// and 2 MiB of values; the oldest entries are evicted first.
 class ChangeLog
 {
 public:
-    /// Removes all entries; the next changes follow `revision`.
+    /// Removes all entries; the next changes follow `revision`. To be called before the first append(): until then the log counts as complete
+    /// from revision 0.
     void reset(std::int64_t revision);
 
-    /// Appends the next change. Several changes may have the same revision.
+    /// Appends the next change. Changes must be appended in the order of their revisions; several may have the same one.
     void append(const StoreEntry &entry);
 
-    /// Appends the changes after revision `after` up to `upTo`, as a comparison of two lists shows them: keys that were created and deleted
-    /// in between are not included.
+    /// Appends the changes found by comparing the lists of all keys at the revisions `after` and `upTo`: at most one for each key, in the order
+    /// of their revisions. Keys that were created and deleted in between are not included.
     void appendCoalesced(std::int64_t after, std::int64_t upTo, std::span<const StoreEntry> entries);
 
-    /// Returns the last change of each key that changed after `revision`, ordered by revision. Empty if the log doesn't reach back that far
-    /// or if `revision` lies within a coalesced range.
+    /// Returns the last change of each key that changed after `revision`, deletions included, ordered by revision. std::nullopt if the log
+    /// doesn't reach back that far or if `revision` lies strictly within a coalesced range.
     std::optional<std::vector<StoreEntry>> since(std::int64_t revision) const;
 
 private:
--- a/coordination/configuration.h
+++ b/coordination/configuration.h
@@ -18,9 +18,9 @@
 /// A caller's key as stored: only a salted digest, never the key itself.
 struct KeyDigest
 {
-    std::string id; ///< Names the key in logs and tickets.
-    std::string salt; ///< Hexadecimal, at least 16 digits.
-    std::string digest; ///< sha256Hex(salt + key).
+    std::string id; ///< Names the key in logs and tickets. If it begins with "lk-", it must be the KeyTable::publicId() of the key.
+    std::string salt; ///< At least 16 hexadecimal digits; only the length is checked.
+    std::string digest; ///< sha256Hex(salt + key), of the salt's text; 64 digits.
 
     bool operator==(const KeyDigest &) const = default;
 };
@@ -29,8 +29,8 @@
 struct TeamConfiguration
 {
     std::string name;
-    double rate = 0; ///< Tokens per second over all hosts together.
-    double burst = 0; ///< Tokens that may be spent at once in addition to the rate.
+    double rate = 0; ///< Tokens per second over all hosts together, 0 to 1e12.
+    double burst = 0; ///< Tokens that may be spent at once in addition to the rate, 0 to 1e12.
     std::vector<KeyDigest> keys;
 
     bool operator==(const TeamConfiguration &) const = default;
@@ -38,8 +38,8 @@
 
 enum class TargetKind : std::uint8_t
 {
-    Engine, ///< Runs models and caches prompt prefixes.
-    Service, ///< A plain HTTP service behind /NAME/.
+    Engine, ///< Runs a model and caches prompt prefixes.
+    Service, ///< A plain HTTP service, called under /SERVICE/ with the name in TargetConfiguration::service.
 };
 
 enum class TargetState : std::uint8_t
@@ -52,7 +52,7 @@
 struct NonIdempotentRoute
 {
     std::string method;
-    std::string pathPrefix; ///< Below the service's name, beginning with "/".
+    std::string pathPrefix; ///< The start of the path after /SERVICE, beginning with "/".
 
     bool operator==(const NonIdempotentRoute &) const = default;
 };
@@ -66,11 +66,11 @@
     std::string address; ///< "ADDRESS:PORT".
     std::string dataCentre;
     std::string model; ///< For engines: the model it runs.
-    bool checksFencing = false; ///< Whether the target rejects an order with an old fencing token.
+    bool checksFencing = false; ///< Whether the target rejects an order (see order_scheduler.h) with an old fencing token.
     TargetState state = TargetState::Serving;
     std::vector<NonIdempotentRoute> nonIdempotent;
-    double prefillRate = 10'000; ///< For engines: prompt tokens computed per second.
-    std::int64_t batchLimit = 64; ///< For engines: the number of requests for which it generates tokens at the same time.
+    double prefillRate = 10'000; ///< For engines: prompt tokens computed per second, 1 to 1e12.
+    std::int64_t batchLimit = 64; ///< For engines: the maximum number of requests for which it generates tokens at the same time, 1 to 1e6.
 
     bool operator==(const TargetConfiguration &) const = default;
 };
@@ -113,34 +113,36 @@
 
 using ConfigurationObject = std::variant<TeamConfiguration, TargetConfiguration, ModelConfiguration, HostsConfiguration, RemovedObject>;
 
-/// The id "KIND/NAME" of an object, under which its last ticket number is stored; "hosts" for the list of hosts.
+/// The id "KIND/NAME" of an object, under which its last ticket number is stored; "hosts" for the list of hosts. A RemovedObject has the id of
+/// the object that it removes.
 std::string objectId(const ConfigurationObject &object);
 
 /// A numbered change by an operator.
 struct Ticket
 {
-    std::int64_t number = 0; ///< From 1 on.
+    std::int64_t number = 0; ///< At least 1, and higher than the last ticket of each object it changes; others may have the same number.
     std::string operatorName;
     std::vector<ConfigurationObject> objects;
 
     bool operator==(const Ticket &) const = default;
 };
 
-/// Reads a ticket from JSON and checks every field. Unknown fields, wrong types and values out of range are reported as TicketInvalid.
+/// Reads a ticket from JSON and checks every field. Unknown fields, wrong types, values out of range, and a ticket that names no object or one
+/// object twice are reported as TicketInvalid. Names have at most 128 letters, digits, '-', '_', '.' or ':'.
 std::optional<Ticket> parseTicket(std::string_view json, Reason &reason);
 
 /// Returns the ticket as JSON with its fields in a fixed order, so that equal tickets have equal text and digest.
 std::string formatTicket(const Ticket &ticket);
 
-/// All objects at one point of the log. `apply` is a pure function of state and ticket, so that every host that replays the same log
-/// reaches the same state.
+/// All objects at one point of the log. The result of apply() depends only on the state and the ticket, so that every host that replays the
+/// same log reaches the same state.
 class ConfigurationState
 {
 public:
-    /// Applies a ticket completely or not at all. The reason is TicketStale if the number is below that of the last ticket of an object it
-    /// changes, TicketAlreadyAccepted if this very ticket was the last one for all of its objects, TicketConflict if a ticket of the same
-    /// number but different content was the last one for an object, and TicketInvalid if the new list of hosts names a host twice, removes
-    /// all hosts or differs from a list that is not empty by more than one host.
+    /// Applies a ticket completely or not at all, and returns whether it did. The reason is TicketStale if the number is below that of the
+    /// last ticket of an object it changes, TicketAlreadyAccepted if this very ticket was the last one for all of its objects, TicketConflict
+    /// if a ticket of the same number but different content was the last one for an object, and TicketInvalid if the new list of hosts names
+    /// a host twice or, unless the old list is empty, is empty itself or adds and removes more than one name in total.
     bool apply(const Ticket &ticket, Reason &reason);
 
     const std::map<std::string, TeamConfiguration, std::less<>> &teams() const;
@@ -151,7 +153,8 @@
     /// The number of the last ticket that changed an object, 0 if there is none.
     std::int64_t lastTicket(std::string_view objectId) const;
 
-    /// sha256Hex of an object's JSON text, empty if there is no such object. Used for the audit trail.
+    /// sha256Hex of an object's JSON text, empty if there is no such object. Used for the audit trail. Any id other than those of a team, target
+    /// or model stands for the list of hosts.
     std::string objectDigest(std::string_view objectId) const;
 
     /// The complete state as JSON, for the snapshot in the store; parseConfigurationState() reads it.
@@ -179,6 +182,7 @@
     std::map<std::string, LastTicket, std::less<>> lastTickets_;
 };
 
+/// Reads the text returned by ConfigurationState::toJson(). If it can't be read, the reason is TicketInvalid, as for a ticket.
 std::optional<ConfigurationState> parseConfigurationState(std::string_view json, Reason &reason);
 
 /// Whether `key` matches the digest. Compares in constant time.
--- a/coordination/configuration_json.h
+++ b/coordination/configuration_json.h
@@ -20,7 +20,7 @@
     std::string digest; ///< sha256Hex of the text returned by formatTicket().
 };
 
-/// The content of the JSON text of a complete state.
+/// The content of a ConfigurationState as written to JSON.
 struct ConfigurationDocument
 {
     std::vector<ConfigurationObject> objects;
@@ -32,7 +32,8 @@
 
 std::string formatConfigurationDocument(const ConfigurationDocument &document);
 
-/// Reads a complete state. Unknown fields, wrong types and values out of range are reported as TicketInvalid.
+/// Reads a complete state. Unknown fields, wrong types and values out of range are reported as TicketInvalid; only the items of "tickets" may
+/// have unknown fields.
 std::optional<ConfigurationDocument> parseConfigurationDocument(std::string_view json, Reason &reason);
 
 } // namespace Lovageloft
--- a/coordination/configuration_log_entry.h
+++ b/coordination/configuration_log_entry.h
@@ -11,22 +11,22 @@
 namespace Lovageloft
 {
 
-/// The change of one object by a ticket: the digests of its JSON text before and after, empty where it did not exist.
+/// The change of one object by a ticket.
 struct ObjectChange
 {
     std::string object; ///< As returned by objectId().
-    std::string before;
-    std::string after;
+    std::string before; ///< sha256Hex of the object's JSON text before the change; empty if it did not exist.
+    std::string after; ///< The same after the change; empty if the object was removed.
 
     bool operator==(const ObjectChange &) const = default;
 };
 
-/// One committed change: the value of one key of the configuration log.
+/// One entry of the configuration log, stored as the value of one key. It is committed once that key has been created.
 struct LogEntry
 {
     std::int64_t sequence = 0; ///< Counts from 1, without gaps.
     std::string nonce; ///< Random for each commit, so that a committer recognizes its own entry after a lost response.
-    std::int64_t committedAt = 0; ///< Milliseconds since 1970 by the wall clock of the committing host; used for the audit trail only.
+    std::int64_t committedAt = 0; ///< Wall clock of the committing host in milliseconds since 1970, when the commit began; for the audit trail only.
     std::vector<ObjectChange> changes;
     Ticket ticket; ///< Has no objects in an entry that could not be read.
 
--- a/coordination/in_force_tracker.cpp
+++ b/coordination/in_force_tracker.cpp
@@ -13,8 +13,8 @@
 // Oscillators are off by at most 1/10,000; 1/100 of the window covers that and clock slewing.
 constexpr int clockDriftDivisor = 100;
 
-// A few tickets are committed per minute, so more entries wait only while a majority is unreachable. A dropped entry is in force when a
-// later one is.
+// A few tickets are committed per minute, so more entries than this wait only while a majority is unreachable. A dropped entry is in force
+// when a later one is.
 constexpr std::size_t maxTrackedEntries = 64;
 
 std::size_t allOf(std::size_t count)
--- a/coordination/in_force_tracker.h
+++ b/coordination/in_force_tracker.h
@@ -12,8 +12,9 @@
 namespace Lovageloft
 {
 
-/// Determines when a committed entry is in force: from then on no host serves under an older one. This is the case once a majority of the
-/// caught-up hosts held the entry at the same time and the window has passed since then, or once all hosts held the entry at the same time.
+/// Determines when a committed entry is in force: from then on no host serves under an older one. This is the case once caught-up hosts that
+/// form a majority of each list of hosts held the entry at the same time and the window has passed since then, or once all listed hosts held
+/// the entry at the same time.
 /// Reports gathered at different times are not enough: a host could report the entry, restart, catch up from a peer that has not received
 /// the entry yet, and then report no newer entry to a host that is cut off. An operator would be told that a key is withdrawn although that
 /// host still accepts it.
@@ -21,21 +22,23 @@
 class InForceTracker
 {
 public:
-    /// `window` is the freshness window F of the freshness gates. The tracker waits slightly longer, because the clocks of hosts run at
-    /// slightly different rates.
+    /// `window` is the freshness window of the freshness gates. The tracker waits 1% longer, because the clocks of hosts run at slightly
+    /// different rates.
     explicit InForceTracker(Duration window);
 
+    /// Sets the lists of hosts that result from the entries held. While the current list is empty, as before the first call, an entry is in
+    /// force without any report once the window has passed since it was known to be committed.
     void setHosts(HostLists lists);
 
-    /// Starts to track a committed entry; `now` is a time at which it was known to be committed. A newly started tracker is given the last
-    /// entry of the log: once that is in force, so are all entries before it.
+    /// Starts to track a committed entry. A newly started tracker is given the last entry of the log: once that is in force, so are all
+    /// entries before it. Beyond 64 tracked entries the oldest is dropped; it is in force once a later one is.
     void track(std::int64_t sequence, TimePoint knownCommittedAt);
 
     /// Records a host's own version report, never a relayed one: `requestSentAt` is when the request was sent and `responseReceivedAt` when
     /// the response arrived. The host that runs the tracker reports itself with both times equal.
     void onPeerVersionReport(const PeerVersionReport &report, TimePoint requestSentAt, TimePoint responseReceivedAt);
 
-    /// Determines which entries are in force at `now`.
+    /// Updates isInForce() and inForceVersion() to `now`; to be called after reports and as time passes.
     void advance(TimePoint now);
 
     /// Records that another host's tracker found the entry in force. An entry that is in force stays in force.
@@ -43,10 +46,11 @@
 
     bool isInForce(std::int64_t sequence) const;
 
-    /// The last entry known to be in force.
+    /// The sequence number of the last entry known to be in force; 0 if there is none.
     std::int64_t inForceVersion() const;
 
-    /// The listed hosts that are not known to hold the entry: shown to the operator, and the hosts to ask next.
+    /// The hosts of the current and the previous list that are not caught up or not known to hold the entry, ascending by name. For the
+    /// operator, and as the hosts to ask next.
     std::vector<std::string> hostsLacking(std::int64_t sequence) const;
 
 private:
--- a/coordination/key_table.h
+++ b/coordination/key_table.h
@@ -21,21 +21,22 @@
 };
 
 /// Finds the team of a presented key. Each key is stored under its own salt, so a linear search would have to hash the presented key once
-/// per stored key: with 580 teams, five keys each and 10,000 requests a second, 29 million digests a second. A key of the form
-/// `lk-NAME-SECRET` whose digest has the id `lk-NAME` therefore needs a single digest, whether the key is known or not. Keys with other ids
-/// are searched linearly among themselves.
+/// per stored key: with 580 teams, five keys each and 10,000 requests a second, 29 million digests a second. To avoid that, a key of
+/// the form `lk-NAME-SECRET` is looked up by its public id `lk-NAME`, and is hashed only once for each stored key with that id: usually once,
+/// whether the key is known or not. All other keys are searched linearly among the stored keys whose id doesn't begin with "lk-".
 /// Immutable and therefore thread-safe: a new table is built for each state.
 class KeyTable
 {
 public:
     explicit KeyTable(const ConfigurationState &state);
 
-    /// Returns the owner of `key`. Empty if the key is unknown or, by an operator's mistake, belongs to two teams, because a request must
-    /// never run for the wrong team. The time depends on the number of keys with the same public id, or of keys without one, but not on
-    /// which of them matches.
+    /// Returns the owner of `key`. Nothing if the key is unknown or, by an operator's mistake, belongs to two teams, because a request must
+    /// never run for the wrong team. Two teams are noticed only if both store the key under the same public id, or both without one. The time
+    /// depends on the number of keys with the same public id, or of keys without one, but not on which of them matches.
     std::optional<KeyMatch> find(std::string_view key) const;
 
-    /// The public id in the text of `key` ("lk-NAME" of "lk-NAME-SECRET"), empty if it has none. The secret contains no "-".
+    /// The public id in the text of `key` ("lk-NAME" of "lk-NAME-SECRET"), empty if it has none. NAME may contain "-", SECRET must
+    /// not: everything before the last "-" is the id.
     static std::string_view publicId(std::string_view key);
 
 private:
