--- a/gateway/caller_session.cpp
+++ b/gateway/caller_session.cpp
@@ -18,7 +18,7 @@
 
 /// A body must arrive within `headTimeout` after the head, plus another `headTimeout` for each whole MiB of its length, or of the maximum if it
 /// has no length. Without a timeout, a slow sender would hold memory indefinitely.
-constexpr std::uint64_t bytesPerHeadTimeout = 1'048'576;
+constexpr std::uint64_t bodyBytesPerHeadTimeout = 1'048'576;
 
 void appendChunkSize(std::string &out, std::size_t size)
 {
@@ -54,7 +54,7 @@
     closesAfterAnswer_ = closesAfterAnswer_ || !mayKeepConnection();
     unsentHead_ = "HTTP/1.1 " + std::to_string(status) + ' ' + std::string(statusText(status)) + "\r\n";
     unsentHead_.append(fields);
-    isChunked_ = !bodyBytes && head_.version == 11;
+    isChunked_ = !bodyBytes && head_.version == 11; // HTTP/1.1; 10 is HTTP/1.0.
     if (bodyBytes) {
         appendField(unsentHead_, "Content-Length", std::to_string(*bodyBytes));
     } else if (isChunked_) {
@@ -175,7 +175,7 @@
         tcp_->send("HTTP/1.1 100 Continue\r\n\r\n");
     }
     const std::uint64_t expectedBytes = bodyBytes.value_or(limits_.bodyBytes);
-    startTimer(limits_.headTimeout * static_cast<std::int64_t>(1 + expectedBytes / bytesPerHeadTimeout));
+    startTimer(limits_.headTimeout * static_cast<std::int64_t>(1 + expectedBytes / bodyBytesPerHeadTimeout));
 }
 
 void CallerSession::onBody(std::string_view bytes)
--- a/gateway/caller_session.h
+++ b/gateway/caller_session.h
@@ -24,26 +24,32 @@
 public:
     CallerSession(Gateway &gateway, TcpConnection::Socket socket);
 
+    /// Starts to read. Must be called once, when a shared_ptr holds the session.
     void start();
 
     /// Prepares the head of an answer; it is sent with the first bytes of the body. `fields` are header lines, each ending in CRLF. Without
-    /// `bodyBytes` the body is sent in chunks, or to an HTTP/1.0 caller until the connection closes.
+    /// `bodyBytes` the body is sent in chunks, or to an HTTP/1.0 caller until the connection closes. The request's method is not considered:
+    /// answers to HEAD must be given no body.
     void beginAnswer(int status, std::string_view fields, std::optional<std::size_t> bodyBytes);
+    /// Sends a copy of `bytes` as part of the body. Must be called between beginAnswer() and finishAnswer(). Does nothing if `bytes` is empty or
+    /// the session is closed.
     void sendBody(std::string_view bytes);
 
     /// Completes the answer. The connection is kept open unless the caller asked to close it, the answer's framing requires closing it, or
-    /// this host is shutting down.
+    /// this host is shutting down and no byte of a further request has arrived.
     void finishAnswer();
 
     /// Closes the connection without completing the answer, so that the caller can't take the part already sent for a complete one.
+    /// An HTTP/1.0 caller can't tell them apart if the answer has no Content-Length, as the closed connection is the end of such an answer.
     void abortAnswer();
 
     /// Bytes of the answer that the kernel has not accepted yet because the caller reads slowly.
     std::size_t unsent() const;
 
-    /// Closes the connection unless a request is arriving or being processed.
+    /// Closes the connection if it is idle.
     void closeIfIdle();
 
+    /// Whether no request is arriving or being processed, and no bytes of a further one are buffered.
     bool isIdle() const;
 
 private:
--- a/gateway/event_splitter.h
+++ b/gateway/event_splitter.h
@@ -7,14 +7,15 @@
 {
 
 /// Splits a stream of server-sent events into whole events, so that a caller never receives a partial one. An engine may fail in the middle
-/// of an event; the engine that continues the stream begins with the next whole event.
+/// of an event; the engine that continues the stream begins with the next whole event. An event ends with "\n\n" or "\r\n\r\n"; "\r\r" is not
+/// recognized. The size of a buffered event is not limited.
 class EventSplitter
 {
 public:
-    /// Appends `bytes` and returns all events that are complete now. The view is valid until the next call.
+    /// Appends `bytes` and returns the events that they complete. The view is valid until the next call of push() or dropPartial().
     std::string_view push(std::string_view bytes);
 
-    /// The `id` field of the last complete event that had one; empty if none had.
+    /// The `id` field of the last complete event that had one; empty if none had or if that field was empty.
     const std::string &lastId() const;
 
     /// Whether an incomplete event is buffered.
--- a/gateway/gauges.cpp
+++ b/gateway/gauges.cpp
@@ -12,11 +12,14 @@
     const auto table = gateway.table();
     metrics.set("lovageloft_requests_waiting", static_cast<double>(gateway.dispatch().waitingCount()));
     metrics.set("lovageloft_requests_running", static_cast<double>(gateway.dispatch().runningCount()));
+    // How old the proof is that the configuration is the newest one; before the first configuration, the time since the clock's epoch.
     metrics.set("lovageloft_key_proof_age_seconds", toSeconds(gateway.proofAge(now)));
     metrics.set("lovageloft_idle_target_connections", static_cast<double>(gateway.pool().idleCount()));
     metrics.set("lovageloft_configuration_version", table != nullptr ? static_cast<double>(table->version) : 0);
     metrics.set("lovageloft_targets_known", static_cast<double>(gateway.targets().all().size()));
+    // For how long the list of engines has been out of date.
     metrics.set("lovageloft_targets_overdue_seconds", toSeconds(gateway.dispatch().engineListOverdue(now)));
+    // 0 also if no weights are known.
     metrics.set("lovageloft_weights_age_seconds", toSeconds(now - gateway.targets().newestPublishedAt().value_or(now)));
     metrics.set("lovageloft_requests_quarantined", static_cast<double>(gateway.fleet().crashes().quarantinedCount(now)));
     metrics.set("lovageloft_ready", gateway.isReady(now) ? 1 : 0);
--- a/gateway/operator_view.cpp
+++ b/gateway/operator_view.cpp
@@ -48,22 +48,22 @@
 
 StatusAnswer OperatorView::answer(std::string_view path) const
 {
-    struct Route
+    struct Page
     {
         std::string_view path;
         std::string (OperatorView::*answer)() const;
     };
 
-    static constexpr auto routes = std::to_array<Route>({
+    static constexpr auto pages = std::to_array<Page>({
         {"/operator/status", &OperatorView::status},
         {"/operator/teams", &OperatorView::teams},
         {"/operator/targets", &OperatorView::targets},
         {"/operator/hosts", &OperatorView::hosts},
         {"/operator/leader", &OperatorView::leader},
     });
-    for (const Route &route : routes) {
-        if (route.path == path) {
-            return {ok, (this->*route.answer)(), "application/json"};
+    for (const Page &page : pages) {
+        if (page.path == path) {
+            return {ok, (this->*page.answer)(), "application/json"};
         }
     }
     return {notFound, "not found\n"};
--- a/gateway/operator_view.h
+++ b/gateway/operator_view.h
@@ -10,7 +10,8 @@
 
 class Gateway;
 
-/// The state of a running host for operators, as JSON objects that `lovageloftctl` prints: its status, teams, targets, hosts and the leader.
+/// The state of a running host for operators, as JSON objects that `lovageloftctl` prints: the host's status, and
+/// the teams, targets, hosts and leader that it knows. The paths begin with "/operator/".
 /// No API key is required to read them, as they contain no keys and no prompts. For use on the event loop only.
 class OperatorView
 {
@@ -23,6 +24,7 @@
 private:
     std::string status() const;
     std::string teams() const;
+    /// Of a target with several models, only the first model and its weights are shown.
     std::string targets() const;
     std::string hosts() const;
     std::string leader() const;
--- a/gateway/peer_socket.cpp
+++ b/gateway/peer_socket.cpp
@@ -23,7 +23,8 @@
 using ErrorCode = boost::system::error_code;
 using PeerMessages::Datagram;
 
-/// Limits the blocks in a DispatchNotice. 64 blocks are 64,000 tokens, more than most prompts share, and take half a kilobyte.
+/// Limits the blocks in a DispatchNotice to half a kilobyte. That should be more than most prompts share. 64 blocks of
+/// partBlockTokens are 16,384 tokens; further blocks are not announced.
 constexpr std::size_t maxAnnouncedBlocks = 64;
 
 /// Datagrams read in a row before other handlers of the event loop run.
@@ -344,7 +345,6 @@
     sendTo(host, encode(message));
 }
 
-/// A reply that is too long for a datagram is not sent; the requesting host then calls the store.
 void PeerSocket::send(const std::string &host, const ChangesReply &reply)
 {
     capnp::MallocMessageBuilder message;
--- a/gateway/peer_socket.h
+++ b/gateway/peer_socket.h
@@ -29,9 +29,9 @@
 struct DispatchNotice
 {
     std::string engine; ///< The engine's id in the scheduler.
-    std::uint32_t workTokens = 0; ///< Work of the engine for the prompt, as a number of tokens of a short prompt.
-    std::uint32_t newTokens = 0; ///< Tokens added to the engine's memory.
-    std::vector<std::uint64_t> blocks; ///< Hash chain of the prompt's blocks that other requests may share.
+    std::uint32_t workTokens = 0; ///< Work of computing the prompt, as the length in tokens of an uncached short prompt that takes as long.
+    std::uint32_t newTokens = 0; ///< Tokens added to the engine's cache.
+    std::vector<std::uint64_t> blocks; ///< Hashes of the prompt's blocks that other requests may share; only the first 64 are sent.
 };
 
 /// Announces that a target is about to load new weights and declines requests meanwhile.
@@ -41,7 +41,7 @@
     Duration duration{};
 };
 
-/// Asks a home host of a team for tokens of the team's rate limit, see TeamBudget.
+/// Asks a home host of a team for tokens from its pool of the team's rate limit, see TeamBudget.
 struct TokenRequest
 {
     std::uint64_t id = 0;
@@ -49,11 +49,12 @@
     double tokens = 0;
 };
 
+/// Answers a TokenRequest.
 struct TokenReply
 {
-    std::uint64_t id = 0;
+    std::uint64_t id = 0; ///< As in the request.
     bool isGranted = false;
-    Duration retryAfter{};
+    Duration retryAfter{}; ///< When to try again if the tokens are not granted.
 };
 
 /// All changes in the store under a prefix after revision `after` and up to revision `upTo`.
@@ -63,14 +64,19 @@
     std::int64_t after = 0;
     std::int64_t upTo = 0;
     std::vector<StoreEntry> entries; ///< Ascending by revision.
-    std::vector<bool> omitted; ///< For each entry, whether its value is left out because it is too long for a datagram.
-    Duration silence{}; ///< For how long before the sender could not have received them; they may be older by this time.
+
+    /// For each entry, whether its value is left out. The values of a datagram are left out together if it would be too long with them.
+    std::vector<bool> omitted;
+
+    Duration silence{}; ///< How long the sender had been cut off or paused before it received the changes; they may be older by this time.
 
     /// Only receivers that have synced to at most this revision may apply the notice. Changes that were found by comparing two lists don't
-    /// contain keys that were created and deleted between them; a receiver synced to a revision in between may still hold such a key.
+    /// contain keys that were created and deleted between them; a receiver synced to a revision in between may still hold such a key, and would
+    /// not learn of its deletion. `latestStart` in the datagram.
     std::int64_t maxStartRevision = std::numeric_limits<std::int64_t>::max();
 
-    std::optional<Duration> outage{}; ///< As in StoreListReply.
+    /// How long the store had answered no host before the entries arrived, if known. `awayMilliseconds` in the datagram.
+    std::optional<Duration> outage{};
 };
 
 /// Asks for all changes under a prefix after a revision.
@@ -81,7 +87,7 @@
     std::int64_t after = 0;
 };
 
-/// All changes up to a revision, which the sender had synced to `age` before it sent the reply.
+/// All changes after the requested revision. The sender was synced to their `upTo` revision `age` before it sent the reply.
 struct ChangesReply
 {
     std::uint64_t id = 0;
@@ -111,7 +117,7 @@
     bool isAlive = false;
 };
 
-/// Asks how long ago the weights that the receiver knows of were published. Each version is answered by a WeightsAge.
+/// Asks how long ago the weights that the receiver knows of were published. The reply is one WeightsAge for each version.
 struct WeightsRequest
 {
 };
@@ -124,7 +130,7 @@
     Duration age{};
 };
 
-/// Receives the messages of other hosts.
+/// Receives the messages of other hosts. `host` is the host that the datagram came from: for a broadcast it may be a forwarding host.
 class PeerEvents
 {
 public:
@@ -141,7 +147,11 @@
     virtual void onCacheStoreNotice(const CacheStoreNotice &notice) = 0;
     virtual void onWeightsRequest(const std::string &host) = 0;
     virtual void onWeightsAge(const WeightsAge &age) = 0;
+
+    /// Another host lost a target before the target began to answer a request.
     virtual void onCrashReport(const std::string &host, const CrashReport &report) = 0;
+
+    /// The request must not be sent to any target any more.
     virtual void onQuarantined(RequestFingerprint request) = 0;
 
     /// Whether messages that are received now may have waited unread for long, as after a pause of the process. They are then not forwarded
@@ -149,41 +159,52 @@
     virtual bool mayHaveStaleMessages() const = 0;
 };
 
-/// Sends and receives UDP datagrams between the hosts of a fleet. They are encoded with Cap'n Proto, and long ones are deflated. Datagrams
-/// from addresses that are not those of known hosts are dropped. Broadcasts are distributed by forwarding hosts, see planBroadcast().
+/// Sends and receives UDP datagrams between the hosts of a fleet, over IPv4; any of them may be lost. They are encoded with Cap'n Proto,
+/// and long ones are deflated. Datagrams from addresses that are not those of known hosts are dropped. Broadcasts are distributed by forwarding
+/// hosts, see planBroadcast().
 class PeerSocket
 {
 public:
     PeerSocket(boost::asio::io_context &loop, PeerEvents &events);
 
+    /// Binds the address and starts to receive. Returns false and sets `reason` to ResultCode::SettingsOutOfRange if it can't be bound.
     bool open(const HostAddress &address, Reason &reason);
     void close();
 
     /// The bound UDP port; useful if the address has port 0.
     std::uint16_t port() const;
 
-    /// Sets the other hosts, by name.
+    /// Sets the other hosts, by name. Hosts whose address can't be parsed are left out.
     void setPeers(const std::map<std::string, HostRecord> &peers);
 
     /// Sends a message to all other hosts.
     void broadcast(const DispatchNotice &notice);
     void broadcast(const LoadingNotice &notice);
     void broadcast(const CacheStoreNotice &notice);
+
+    /// Tells all other hosts that a request is quarantined, see PeerEvents::onQuarantined().
     void broadcast(RequestFingerprint quarantined);
 
-    /// Sends changes to all other hosts, divided into several datagrams if needed.
+    /// Sends changes to all other hosts, divided into several datagrams if needed. A notice whose `maxStartRevision` is less than `upTo` is not
+    /// divided. Values that make a datagram too long are left out; if it is too long even so, sending it fails with only a log line.
     void broadcast(const ChangesNotice &notice);
 
     /// Sends a message to one host. Does nothing if the host is unknown.
     void send(const std::string &host, const TokenRequest &request);
     void send(const std::string &host, const TokenReply &reply);
     void send(const std::string &host, const ChangesRequest &request);
+
+    /// A reply that is too long for a datagram is not sent; the requesting host then calls the store.
     void send(const std::string &host, const ChangesReply &reply);
+
+    /// Sends a message to one host, as above.
     void send(const std::string &host, const ProofRequest &request);
     void send(const std::string &host, const ProofReply &reply);
     void send(const std::string &host, const WeightsRequest &request);
     void send(const std::string &host, const WeightsAge &age);
     void send(const std::string &host, const CrashReport &report);
+
+    /// Tells one host that a request is quarantined.
     void send(const std::string &host, RequestFingerprint quarantined);
 
 private:
--- a/gateway/status_server.h
+++ b/gateway/status_server.h
@@ -15,6 +15,7 @@
 namespace Lovageloft
 {
 
+/// Answer of a StatusServer.
 struct StatusAnswer
 {
     int status = 200;
@@ -22,20 +23,23 @@
     std::string contentType = "text/plain; charset=utf-8";
 };
 
-/// A small HTTP server on an address of its own for information about this host: readiness for the load balancer, metrics, and the calls
-/// of operators.
+/// A minimal HTTP server for the load balancer's readiness checks, for metrics and for operators, on an address of its own. It answers all
+/// methods alike, so that HEAD gets a body, and has no timeouts.
 class StatusServer
 {
 public:
+    /// `path` is the request target as sent, with the query.
     using Handler = std::function<StatusAnswer(std::string_view path)>;
 
     StatusServer(boost::asio::io_context &loop, Handler handler);
     ~StatusServer();
 
+    /// Binds the address and starts to accept connections. Returns false and sets `reason` on errors, as openListener().
     bool open(const HostAddress &address, Reason &reason);
+    /// Closes all connections at once; answers that are still being sent are cut off.
     void close();
 
-    /// The bound TCP port; useful if the address has port 0.
+    /// The bound TCP port; useful if the address has port 0. 0 if the server is not open.
     std::uint16_t port() const;
 
 private:
@@ -48,7 +52,8 @@
     std::set<std::shared_ptr<Session>> sessions_;
 };
 
-/// Opens a listening socket. Returns false and sets `reason` if the address can't be bound.
+/// Opens a listening IPv4 socket, for any server of this host. Returns false and sets `reason` to ResultCode::SettingsOutOfRange if the address
+/// can't be bound, which includes that its port is in use.
 bool openListener(boost::asio::ip::tcp::acceptor &acceptor, const HostAddress &address, Reason &reason);
 
 } // namespace Lovageloft
--- a/gateway/target_connection.h
+++ b/gateway/target_connection.h
@@ -15,7 +15,7 @@
 enum class TargetLoss : std::uint8_t
 {
     NotSent, ///< No byte of the request can have reached the target.
-    MayHaveRun, ///< Part or all of the request was sent.
+    MayHaveRun, ///< Part or all of the request was sent, or the answer was malformed.
 };
 
 /// Receives the events of one exchange with a target. onAnswerEnd() or onTargetLost() is the last one.
@@ -27,17 +27,19 @@
     ExchangeEvents &operator=(const ExchangeEvents &) = delete;
     virtual ~ExchangeEvents() = default;
 
+    /// Called once, for the final answer; those with a 1xx status are skipped.
     virtual void onAnswerHead(HttpHead &&head, const AnswerFacts &facts) = 0;
     virtual void onAnswerBody(std::string_view bytes) = 0;
     virtual void onAnswerEnd() = 0;
+    /// `why` is "not connected", "reset", "closed" or "malformed answer".
     virtual void onTargetLost(TargetLoss loss, std::string_view why) = 0;
 };
 
 /// A persistent HTTP connection to a target that carries one exchange at a time.
 ///
 /// A faulty target may send a second answer to an earlier request. If it were taken as the answer to the next request, a caller would get
-/// data that belongs to another. An answer must therefore carry the id of the current request. Any other answer is discarded, and the
-/// connection is not reused.
+/// data that belongs to another. An answer must therefore carry the id of the current request. Any other answer is discarded without
+/// an event, and the connection is not reused. The exchange goes on until its own answer arrives, the connection fails or abort() is called.
 class TargetConnection final : public std::enable_shared_from_this<TargetConnection>, private TcpEvents, private HttpEvents
 {
 public:
@@ -46,19 +48,24 @@
     {
     public:
         virtual ~Owner() = default;
+        /// Called before ExchangeEvents::onAnswerEnd() of the exchange that has ended.
         virtual void onIdle(const std::shared_ptr<TargetConnection> &connection) = 0;
         virtual void onIdleClosed(const std::shared_ptr<TargetConnection> &connection) = 0;
     };
 
     TargetConnection(std::string targetId, const TargetProtocol &protocol, Owner &owner);
 
+    /// Starts to connect; must be called once. If the connection is not established within `timeout`, the exchange fails with
+    /// ExchangeEvents::onTargetLost().
     void connect(boost::asio::io_context &loop, const HostAddress &address, Duration timeout);
 
     /// Sends a request as soon as the connection is established. Its answer must carry `requestId`. `hasAnswerBody` is false for requests,
-    /// such as HEAD, whose answer has no body whatever its header says.
+    /// such as HEAD, whose answer has no body whatever its header says; the connection is then not reused.
+    /// Must be called only on a new or idle connection. `events` must remain valid until the exchange ends or is aborted.
     void sendRequest(std::string bytes, std::string requestId, bool hasAnswerBody, ExchangeEvents &events);
 
-    /// Aborts the exchange by closing the connection, which makes most targets cancel the request. No event follows.
+    /// Aborts the exchange by closing the connection, which makes most targets cancel the request. Neither the exchange's
+    /// events nor the owner is notified.
     void abort();
 
     void pauseReading();
@@ -73,6 +80,7 @@
     /// How long the target keeps the connection open while idle: as its Keep-Alive header says, or a default.
     Duration keepAlive() const;
 
+    /// When the last exchange ended; meaningless before the end of the first one.
     TimePoint idleSince() const;
 
     /// Whether a request was sent on this connection before.
--- a/gateway/target_pool.h
+++ b/gateway/target_pool.h
@@ -11,16 +11,18 @@
 namespace Lovageloft
 {
 
-/// A pool of persistent connections to targets. Reuse saves the target a handshake per request, and new connections count against the limit
-/// that a target has for connections from all hosts.
+/// A pool of persistent connections to targets. A new connection costs the target a handshake and counts against the number of
+/// connections that it accepts from all hosts. At most 8 idle connections are kept per target id. They are reused even if the target's address
+/// has changed.
 class TargetPool final : private TargetConnection::Owner
 {
 public:
     TargetPool(boost::asio::io_context &loop, const TargetProtocol &protocol);
 
-    /// Returns an idle or a new connection for one exchange. If the request is not idempotent, an idle connection is used only if the target
-    /// will keep it open for some more time: if the target closed the connection while the request was on its way, it would be unknown
-    /// whether the request ran.
+    /// Returns an idle or a new connection for one exchange. If the request is not idempotent, an idle connection is used only if it was
+    /// idle for at most half of the time for which the target keeps it open, instead of 7/10: if the target closed the connection while the
+    /// request was on its way, it would be unknown whether the request ran. A new connection is not established yet; if it can't be, the
+    /// exchange fails with TargetLoss::NotSent.
     std::shared_ptr<TargetConnection> acquire(const Target &target, bool isIdempotent, TimePoint now);
 
     /// Closes connections that were idle for too long to be reused.
