--- a/gateway/peer_socket.cpp
+++ b/gateway/peer_socket.cpp
@@ -31,7 +31,7 @@
 constexpr int maxDatagramsPerWakeup = 32;
 
 /// Limits the total size of the values in a datagram with several changes. It then fits into one packet, so that a lost packet costs only one
-/// datagram. A longer value is sent in a datagram of its own.
+/// datagram. A longer value is sent in a datagram of its own. Changes of the same revision are sent together even if they exceed this size.
 constexpr std::size_t maxValueBytesPerDatagram = 1'000;
 
 /// Datagrams of this size and above, about the size of a packet, are deflated.
