--- a/benchmarks/decision/replay_table.cpp
+++ b/benchmarks/decision/replay_table.cpp
@@ -11,7 +11,7 @@
 
 #include "replay/replay.h"
 
-// Prints the results of every policy on every trace: replay_table [--scale S] [--load L] [--seed N] [--seeds COUNT] [--trace NAME] [--policy NAME]
+// Prints the results of every strategy on every trace: replay_table [--scale S] [--load L] [--seed N] [--seeds COUNT] [--trace NAME] [--policy NAME]
 // [--deployment NAME] [--set NAME=VALUE].
 // `--write FILE` writes the requests of the first selected trace as JSON lines instead.
 
@@ -27,7 +27,7 @@
     std::uint64_t seed = 1;
     std::uint64_t seeds = 1;
     std::string trace;
-    std::string policy;
+    std::string strategy;
     std::string deployment;
     std::string file;
     PlacementPolicy placement;
@@ -73,7 +73,7 @@
         } else if (name == "--trace") {
             options.trace = value;
         } else if (name == "--policy") {
-            options.policy = value;
+            options.strategy = value;
         } else if (name == "--deployment") {
             options.deployment = value;
         } else if (name == "--write") {
@@ -94,7 +94,7 @@
 }
 
 /// Returns the means of rates and times over the seeds; counts are summed.
-ReplayResult meanResult(std::span<const Trace> traces, const PolicySpec &policy, const Options &options)
+ReplayResult meanResult(std::span<const Trace> traces, const StrategySpec &strategy, const Options &options)
 {
     static constexpr std::array means{&ReplayResult::hitRate,
                                       &ReplayResult::p50FirstToken,
@@ -111,7 +111,7 @@
     mean.worstTeamShare = 0;
     std::uint64_t seed = options.seed;
     for (const Trace &trace : traces) {
-        const ReplayResult result = Replay(trace, policy, seed++, options.placement).run();
+        const ReplayResult result = Replay(trace, strategy, seed++, options.placement).run();
         for (const auto member : means) {
             mean.*member += result.*member / static_cast<double>(traces.size());
         }
@@ -122,12 +122,12 @@
     return mean;
 }
 
-void printRow(std::string_view deployment, std::string_view trace, std::string_view policy, const ReplayResult &result)
+void printRow(std::string_view deployment, std::string_view trace, std::string_view strategy, const ReplayResult &result)
 {
     std::printf("| %s | %s | %s | %.3f | %.2f | %.2f | %.2f | %.1f | %.3f | %.2f | %.0f | %zu | %.2f | %.1f | %zu | %zu |\n",
                 std::string(deployment).c_str(),
                 std::string(trace).c_str(),
-                std::string(policy).c_str(),
+                std::string(strategy).c_str(),
                 result.hitRate,
                 result.p50FirstToken,
                 result.p99FirstToken,
@@ -166,11 +166,11 @@
                 writeTrace(traces.front(), options.file);
                 return;
             }
-            for (const PolicySpec &policy : policySpecs()) {
-                if (!options.policy.empty() && options.policy != policy.name) {
+            for (const StrategySpec &strategy : strategySpecs()) {
+                if (!options.strategy.empty() && options.strategy != strategy.name) {
                     continue;
                 }
-                printRow(deployed, shape.name, policy.name, meanResult(traces, policy, options));
+                printRow(deployed, shape.name, strategy.name, meanResult(traces, strategy, options));
             }
         }
     }
--- a/decision/cache_view.h
+++ b/decision/cache_view.h
@@ -39,11 +39,12 @@
 
 /// Tracks which engine holds which block, from the events that this host has received. Designed for 28 million cached blocks and
 /// 270,000 events per second over the fleet, of which each host handles a share. The table has a fixed size: a full bucket replaces
-/// its least recently used entry. A flood of events therefore takes no extra memory, and at worst a prefix is recomputed.
+/// an entry without holders, or else the one that was stored longest ago. A flood of events therefore takes no extra memory, and at worst a prefix is
+/// recomputed.
 class CacheView
 {
 public:
-    /// Creates a view for about `blocks` cached blocks; it takes 22 bytes per block.
+    /// Creates a view for about `blocks` cached blocks; it takes 22 to 24 bytes per block.
     explicit CacheView(std::size_t blocks);
 
     /// Sets the current incarnation of the engine. A new incarnation starts with an empty cache, so all entries of the previous one
@@ -57,20 +58,22 @@
     /// until the next resync, as an eviction may have been lost. Events of an older incarnation are ignored.
     void applyEvents(EngineIndex engine, std::uint64_t incarnation, std::uint64_t firstSequence, std::span<const CacheEvent> events);
 
-    /// Replaces the entries of an engine with the full list of its blocks; events continue at `nextSequence`.
+    /// Replaces the entries of an engine with the full list of its blocks; events continue at `nextSequence`. Ignored if the incarnation
+    /// or `nextSequence` is older than the current one.
     void resync(EngineIndex engine, std::uint64_t incarnation, std::uint64_t nextSequence, std::span<const BlockHash> blocks);
 
     /// Removes blocks that an engine can no longer hold.
     void removeBlocks(EngineIndex engine, std::span<const BlockHash> blocks);
 
-    /// Adds the blocks of a chain that an engine holds because it was sent the prompt.
+    /// Adds the blocks of a chain that an engine holds because it was sent the prompt. A block that about 20 engines hold already is not
+    /// recorded for further ones.
     void addBlocks(EngineIndex engine, std::span<const BlockHash> chain);
 
     /// Returns whether the engine's entries may be stale: events were missed since the last resync, or it has no incarnation yet.
     bool mayBeStale(EngineIndex engine) const;
 
     /// Finds engines that hold a prefix of `chain`, longest first, and writes at most `found.size()` of them; returns their number.
-    /// Engines that hold far less than the first are omitted. An engine counts as holding all blocks before its deepest one: they were
+    /// Engines that hold 16 or more blocks less than the first are omitted. An engine counts as holding all blocks before its deepest one: they were
     /// computed with it and are evicted after it, while their own events may have been lost.
     std::size_t findHolders(std::span<const BlockHash> chain, std::span<HeldPrefix> found) const;
 
@@ -91,7 +94,7 @@
 
     struct Entry
     {
-        std::uint64_t tagAndStamp = 0; // Upper 48 bits of the hash, then the stamp of the last use.
+        std::uint64_t tagAndStamp = 0; // Upper 48 bits of the hash, then the stamp of the last time it was stored.
         std::array<Holder, holdersPerEntry> holders{};
     };
 
--- a/decision/engine_health.cpp
+++ b/decision/engine_health.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-/// Weight of the newest observation in the mean. A tenth of the speed shows after five to six observations, a few late ones do not.
+/// Weight of the newest observation in the mean. A drop to a tenth of the speed shows after five to six observations, while a few late
+/// answers have little effect.
 constexpr double newestObservationWeight = 0.2;
 /// Ratio of a slow engine that the test distinguishes from 1, and the variance of log ratios: estimates from late reports are off
 /// by a factor of two or three in both directions.
@@ -20,7 +21,7 @@
 /// An ejected engine is readmitted after this many consecutive probes below this ratio.
 constexpr std::uint32_t minGoodProbes = 2;
 constexpr double maxGoodProbeRatio = 2;
-/// Interval between two probes of all hosts together; doubled with each bad probe, up to a factor of 8.
+/// Mean interval between two probes of one engine by all hosts together; doubled with each bad probe, up to a factor of 8.
 constexpr Duration probeInterval = std::chrono::seconds(1);
 constexpr std::uint32_t maxProbeBackoffDoublings = 3;
 /// Maximum fraction of engines that are ejected. If all look slow, the load is the cause, and ejecting engines would increase it.
--- a/decision/engine_health.h
+++ b/decision/engine_health.h
@@ -19,7 +19,8 @@
 public:
     EngineHealth();
 
-    /// Adds one observed ratio.
+    /// Adds one observed ratio: 1 is as expected, more is slower; clamped to 0.25..30. For an ejected engine each observation counts as
+    /// the result of a probe, and two good ones in a row readmit it.
     void observe(EngineIndex engine, double ratio, TimePoint now);
 
     /// Adds a failed request, which counts as a very slow one.
@@ -28,13 +29,14 @@
     /// Clears the engine's state; to be called when it was restarted or removed.
     void reset(EngineIndex engine);
 
-    /// Sets the number of listed engines, which limits how many may be ejected at once.
+    /// Sets the number of listed engines. At most 34% of them may be ejected at once; none before the first call.
     void setEngineCount(std::size_t count);
 
     /// Sets the number of hosts that probe. Each probes less often if there are more, so that the total rate per engine stays the same.
     void setHostCount(std::size_t count);
 
-    /// Returns the factor by which the engine is slower than the fleet, at least 1; scales its expected times before it is ejected.
+    /// Returns the factor by which the engine is slower than the mean of the fleet, at least 1; its expected times are to be multiplied
+    /// by it. Not updated while the engine is ejected.
     double slowdownFactor(EngineIndex engine) const;
 
     bool isEjected(EngineIndex engine) const;
--- a/decision/engine_load.h
+++ b/decision/engine_load.h
@@ -20,7 +20,7 @@
     std::uint32_t waitingRequests = 0; ///< Requests that have no first token yet.
 };
 
-/// Expected queue of one engine: the last report, minus the work done since, plus the requests that this host has sent since.
+/// Expected queue of one engine: the last report, minus the work done since, plus the requests known to have been sent since.
 /// Designed for reports that are seconds late: with the reports alone, all requests between two reports would go to the engine that
 /// was idle in the first one.
 class EngineLoad
@@ -29,10 +29,10 @@
     /// Applies a report; `backlog` is the engine's queue in seconds of work. Reports out of order are ignored.
     void applyReport(TimePoint measuredAt, double backlog);
 
-    /// Adds a request sent by this host that takes `work` seconds.
+    /// Adds a request that this or another host has sent; `work` is its prefill time in seconds at nominal speed.
     void addDispatched(TimePoint now, double work);
 
-    /// Returns the number of requests sent by this host that the last report does not include yet.
+    /// Returns the number of added requests that the last report does not include yet; at most 1,024.
     std::size_t sentSinceReport() const;
 
     /// Clears the queue; to be called when the engine has restarted.
--- a/decision/engine_window.cpp
+++ b/decision/engine_window.cpp
@@ -16,7 +16,8 @@
 // slowdown from batching alone is smaller.
 constexpr double maxFirstTokenSlowdown = 2;
 
-// Strongest single cut, used for a slowdown to a tenth; a stronger one would overreact to a single sample.
+// Strongest single cut, for failures and from a slowdown to a quarter of the speed on, such as one to a tenth. A stronger one would
+// overreact to a single sample.
 constexpr double minCutFactor = 0.5;
 
 // Weakest cut; makes a slowdown just above the limit take effect within a few answers.
--- a/decision/engine_window.h
+++ b/decision/engine_window.h
@@ -13,8 +13,9 @@
 /// Designed for saturated and for slow engines. It prevents requests from queueing inside the engine, which serves them in order of
 /// arrival: team shares, short requests and deadlines are then ignored, and the requests can't be sent elsewhere. The window grows
 /// by one per answer (slow start) or per round trip (additive increase) while the time to the first token stays near the minimum
-/// for prompts of that length, and shrinks in proportion to the slowdown otherwise. Prompts are computed one after another while
-/// answers are generated together, so a second limit applies to the requests that have no first token yet.
+/// for prompts of that length, and shrinks in proportion to the slowdown otherwise. It grows only while at least half of it is in
+/// use, to 256 at most. Prompts are computed one after another while answers are generated together, so a second limit applies to
+/// the requests that have no first token yet.
 class EngineWindow
 {
 public:
@@ -22,12 +23,13 @@
     struct Dispatch
     {
         std::uint32_t generation = 0;
-        std::int64_t missedTokens = 0;
+        std::int64_t missedTokens = 0; ///< Prompt tokens that the engine must compute.
         TimePoint startedAt;
         double prefillSeconds = 0; ///< Expected prefill time; 0 after the first token.
     };
 
-    /// Returns whether another request may be sent for which the engine must compute `missedTokens` prompt tokens.
+    /// Returns whether another request may be sent for which the engine must compute `missedTokens` prompt tokens. Always true if
+    /// nothing is in flight.
     bool canStart(std::int64_t missedTokens) const;
 
     /// Counts a request that is sent now; `missedTokens` are the prompt tokens that the engine must compute.
@@ -51,7 +53,8 @@
     std::size_t inFlight() const;
 
 private:
-    /// Minimum time to the first token per prompt token for one range of prompt lengths, over the current and the previous epoch.
+    /// Minimum time to the first token per computed token for one range of prompt lengths, over the current and the previous epoch of
+    /// five minutes. 256 tokens are added to each prompt for the fixed part of the time.
     struct Floor
     {
         double current = 0; ///< Seconds per token; 0 if nothing was measured.
@@ -81,7 +84,7 @@
     std::array<Floor, floorCount> floors_{};
 
     // One request that runs and one that follows without a pause; the window grows within a few answers. Nine hosts that restart
-    // together then send an engine 18 requests, less than a usual batch.
+    // together then send an engine 18 requests, less than a usual batch; in larger fleets the sum can exceed a batch.
     static constexpr double initialWindow = 2;
 };
 
--- a/decision/eviction_estimator.cpp
+++ b/decision/eviction_estimator.cpp
@@ -8,12 +8,12 @@
     capacity_ = capacityTokens;
 }
 
-void EvictionEstimator::onSent(std::span<const BlockHash> chain, double tokens, std::vector<BlockHash> &evicted)
+void EvictionEstimator::onSent(std::span<const BlockHash> chain, double newTokens, std::vector<BlockHash> &evicted)
 {
     if (capacity_ <= 0) {
         return;
     }
-    sentTokens_ += tokens;
+    sentTokens_ += newTokens;
     if (!chain.empty()) {
         const auto found = prefixByLastBlock_.find(chain.back());
         if (found != prefixByLastBlock_.end()) {
--- a/decision/eviction_estimator.h
+++ b/decision/eviction_estimator.h
@@ -30,9 +30,10 @@
     /// Sets the capacity of the engine's cache in tokens; 0 means unknown, and no prefix is then evicted.
     void setCapacity(double capacityTokens);
 
-    /// Records that the engine was sent a prompt of `tokens` tokens whose shared blocks are `chain`. Appends to `evicted` the blocks of
-    /// the prefixes that it can no longer hold.
-    void onSent(std::span<const BlockHash> chain, double tokens, std::vector<BlockHash> &evicted);
+    /// Records that the engine was sent a prompt that adds `newTokens` tokens to its cache; `chain` are the blocks that other prompts may
+    /// share. Appends to `evicted` the blocks of the prefixes that the engine can no longer hold. They may include first blocks that
+    /// are also part of a prefix still held, as holders are found by their deepest block.
+    void onSent(std::span<const BlockHash> chain, double newTokens, std::vector<BlockHash> &evicted);
 
     /// Drops all prefixes; to be called when the engine has lost its cache.
     void clear();
--- a/decision/placement.cpp
+++ b/decision/placement.cpp
@@ -27,8 +27,9 @@
 constexpr double cacheConfidenceWeight = 0.05;
 constexpr double minCacheConfidence = 0.2;
 constexpr double generationSecondsWeight = 0.05;
-/// Longest prompt for which the transfer to another data centre has a cost; it keeps an engine busy for about 60 ms.
-constexpr std::uint32_t maxLocalPromptTokens = 4'096;
+/// Prompts above this length have no remote cost. A prompt of this length keeps an engine of some 70,000 tokens
+/// per second busy for about 60 ms.
+constexpr std::uint32_t maxRemoteCostPromptTokens = 4'096;
 
 } // namespace
 
@@ -427,12 +428,12 @@
 }
 
 /// Returns the cost of sending the request to another data centre, in seconds of wait. It is 0 for long prompts, which go where
-/// they start soonest: limited to one data centre, they had only a third or a quarter of the engines, waited behind others, and
-/// 2% of the longest were late.
+/// they start soonest: limited to one data centre, they would have only a third or a quarter of the engines and wait behind one
+/// another, and 2% of the longest would be late.
 double Placement::remoteCost(const PlacementRequest &request) const
 {
     constexpr double bytesPerKilobyte = 1'000;
-    if (request.promptTokens > maxLocalPromptTokens) {
+    if (request.promptTokens > maxRemoteCostPromptTokens) {
         return 0;
     }
     return policy_.remoteWaitPerKilobyte * static_cast<double>(request.bytes) / bytesPerKilobyte;
--- a/decision/placement.h
+++ b/decision/placement.h
@@ -34,13 +34,13 @@
     std::string_view name; ///< Unique; also the input of rendezvous hashing.
     ModelVersionId modelVersion = 0;
     std::uint64_t incarnation = 0; ///< 0 while unknown; reports and events then supply it.
-    double weight = 1; ///< Configured relative share of requests whose prefix is not cached; the same on every host.
+    double weight = 1; ///< Configured relative share of requests without a cached prefix, the same on every host. At 0, only cached prefixes bring requests.
     double prefillTokensPerSecond = 10'000; ///< Speed of computing prompt tokens that are not cached.
     std::uint32_t batchLimit = 64; ///< Maximum requests in its batch.
     double cacheTokens = 0; ///< Capacity of its cache in tokens; 0 while unknown.
     bool isServing = true; ///< False while the engine is draining or loading; it then gets no new requests.
     bool isRemote = false; ///< True if it is in another data centre than this host.
-    std::optional<TimePoint> firstTokenDeadline = std::nullopt; ///< Not used for requests whose first token may come later; no limit if not set.
+    std::optional<TimePoint> firstTokenDeadline = std::nullopt; ///< It gets no request whose first token may come later; no limit if not set.
 };
 
 /// The block chain of a prompt for one version of the weights that may serve it.
@@ -66,57 +66,64 @@
     EngineIndex engine = 0;
     ModelVersionId modelVersion = 0;
     std::uint32_t expectedCachedTokens = 0; ///< Prompt tokens expected in the engine's cache.
-    double expectedFirstTokenSeconds = 0; ///< Seconds from now, scaled by the engine's measured slowdown.
+    double expectedFirstTokenSeconds = 0; ///< Seconds from now, scaled by the measured slowdown, plus the time by which its oldest request is overdue.
     double expectedPrefillSeconds = 0; ///< Prefill time in seconds at the engine's nominal speed.
-    std::uint32_t workTokens = 0; ///< Prompt tokens of a short prompt with the same prefill time.
+    std::uint32_t workTokens = 0; ///< The prefill time in tokens at nominal speed. Includes attention, so it is at least the number of uncached prompt tokens.
     std::uint32_t newTokens = 0; ///< Tokens that the request adds to the engine's cache.
     double nominalFirstTokenSeconds = 0; ///< Seconds from now at the engine's nominal speed; EngineHealth compares the observed time with it.
     bool isProbe = false; ///< True if the request tests whether an ejected engine has recovered.
 };
 
-/// Parameters of the placement decision; docs/design/placing.md has the figures behind the defaults. The cost of a candidate, in
-/// seconds, is its expected wait plus the weighted time of the prefill that it would have to do. The weight is recomputeWeight
-/// plus meanWaitWeight times the mean wait of all engines plus the margin for the kind of candidate.
+/// Parameters of the placement decision; docs/design/placing.md has the figures behind the defaults. The cost of a candidate in
+/// seconds is
+///
+///     wait + (recomputeWeight + meanWaitWeight * mean wait of all engines + margin) * prefill time + remote cost
+///
+/// The margin depends on the kind of candidate; it is 0 for the first rendezvous winner, unless replicaMargin applies. The remote
+/// cost is 0 for engines in this data centre and for long prompts. An ejected engine that is due for a probe has the lowest cost.
 struct PlacementPolicy
 {
     std::size_t cacheViewBlocks = 1'500'000; ///< Capacity of the cache view in blocks; the default takes 34 MB.
-    std::uint32_t blockTokens = prefixBlockTokens; ///< Tokens per block of a chain.
-    std::uint32_t minAnnouncedTokens = 0; ///< Requests that compute fewer tokens are not announced to other hosts, which are assumed to send as many.
+    std::uint32_t blockTokens = prefixBlockTokens; ///< Tokens per block; must match the function that makes the digests of the chains.
+    std::uint32_t minAnnouncedTokens = 0; ///< Requests with fewer workTokens are not announced; each other host is assumed to send as many of them.
     double attentionParityTokens = 0; ///< Context length at which attention costs as much per prompt token as the weights do; 0 ignores attention.
     double hostCount = 1; ///< Hosts that place requests; the work of this host times the count estimates the work of the fleet.
     double splitLoad = 0.3; ///< Load of a hot prefix, in engine-seconds per second, that one engine takes; see PrefixHeat.
-    std::size_t randomCandidates = 2;
+    std::size_t randomCandidates = 2; ///< Random engines evaluated per chain; every second one is from this data centre.
     double recomputeWeight = 2.0; ///< Greater than 1, since requests queued behind wait for the prefill as well.
     double meanWaitWeight = 3.0; ///< Per second of mean wait: at saturation each prefix computed twice takes capacity from all requests.
     double replicaMargin = -1.0; ///< For winners that the prefix's load requires: many later requests reuse the copy.
     double laterWinnerMargin = 1.0; ///< For other rendezvous winners after the first.
     double nonWinnerMargin = 2.0; ///< For engines that are no rendezvous winner of the prefix: a restarted host would not find the copy there.
-    double fallbackMargin = 2.0; ///< For all other engines, evaluated only if no candidate can take the request.
+    double fallbackMargin = 2.0; ///< For the fallback over all engines, used if no candidate can take the request; cached prefixes do not count there.
     double remoteWaitPerKilobyte = 0; ///< Cost of sending 1,000 bytes to another data centre, in seconds of wait.
     double firstTokenSafetyFactor = 2.0; ///< The expected time to the first token times this must fit before an engine's firstTokenDeadline.
     double maxWaitWindowOpen = 3.0; ///< Maximum expected wait in seconds for an engine with room in its window.
     double maxWaitWindowFull = 1.0; ///< Maximum expected wait in seconds for an engine whose window is full.
-    double holdSlack = 0.3; ///< Square seconds; divided by the mean wait: maximum extra cost of an available engine over the cheapest one.
+    double holdSlack = 0.3; ///< In s^2. A request waits if the best engine that can take it costs over holdSlack / mean wait more than the cheapest one.
 };
 
-/// Decides which engine gets a request. Designed for prompts that share long nested prefixes, over 18 engines today and 1,000 in
-/// two years: an engine that holds the prefix answers at once, while recomputing the prefix delays all requests queued behind it.
-/// Candidates are the rendezvous winners of the prefix, the engines that hold it according to the cache view, and two random
-/// engines. The candidate with the lowest cost wins; the cost is the expected time to the first token, with a higher weight on
-/// recomputation. All state is local to this host; losing it only causes some recomputation. Not thread-safe.
+/// Decides which engine gets a request. Designed for prompts that share long nested prefixes, over 18 to 1,000 engines: an engine
+/// that holds the prefix answers at once, while recomputing the prefix delays all requests queued behind it. Candidates are the
+/// rendezvous winners of the prefix, the engines that hold it according to the cache view, and some random engines. The candidate
+/// with the lowest cost wins; see PlacementPolicy. All state is local to this host; losing it only causes some recomputation. Not
+/// thread-safe.
 class Placement
 {
 public:
     explicit Placement(const PlacementPolicy &policy = {});
 
-    /// Replaces the list of engines. An engine that is still listed keeps its index and state, but its cache entries are dropped if
-    /// its version or incarnation changed. All state of an engine that is no longer listed is dropped at once.
+    /// Replaces the list of engines; names are copied. An engine that is still listed keeps its index and state, but a new version
+    /// drops its cache entries, and a new incarnation drops its cache entries, load, unanswered requests and health. All state of
+    /// an engine that is no longer listed is dropped at once.
     /// Returns false if there are more than maxEngines names; the excess engines are ignored.
     bool setEngines(std::span<const EngineStatus> engines);
 
     /// Returns the index of a listed engine.
     std::optional<EngineIndex> findEngine(std::string_view name) const;
 
+    /// Returns the name of a listed engine, or an empty one for an index that is no longer in use. Valid until the next setEngines();
+    /// `engine` must have been returned by findEngine().
     std::string_view engineName(EngineIndex engine) const;
 
     /// Sets whether an engine's window has room for another request; initially true for all. An engine with a full window still
@@ -130,14 +137,15 @@
     /// Returns the prompt tokens that the engine with the longest cached prefix still has to compute; part of the request's queueing cost.
     std::uint32_t expectedMissedTokens(const PlacementRequest &request) const;
 
-    /// Chooses an engine. The reason is NoTarget if no engine serves any of the versions, and Overloaded if the engines that suit
-    /// the request are busy; the request should then wait in its queue.
+    /// Chooses an engine. The reason is NoTarget if no engine serves any of the versions, or each would begin after its
+    /// firstTokenDeadline. It is Overloaded if the engines are busy, ejected or excluded, or if those that could take the request
+    /// cost too much more than a busy one (see PlacementPolicy::holdSlack); the request should then wait in its queue.
     std::optional<PlacementDecision> place(const PlacementRequest &request, TimePoint now, Random &random, Reason &reason);
 
     /// Records that the request was sent as decided.
     DispatchId onDispatched(const PlacementRequest &request, const PlacementDecision &decision, TimePoint now);
 
-    /// Records that another host sent a request to the engine: its prefill time in tokens of a short prompt, the tokens that it adds
+    /// Records that another host sent a request to the engine: its prefill time in tokens at nominal speed, the tokens that it adds
     /// to the cache, and the blocks that the engine then holds. Without this, hosts that see an engine idle at the same moment all
     /// send their long prompts there.
     void onDispatchedByPeer(EngineIndex engine, std::uint32_t workTokens, std::uint32_t newTokens, std::span<const BlockHash> blocks, TimePoint now);
@@ -154,10 +162,16 @@
     /// Records that the caller disconnected, which does not affect the engine's health.
     void onCancelled(DispatchId dispatch);
 
+    /// Applies a load report. Reports of unlisted engines and earlier incarnations and reports out of order are ignored; a new
+    /// incarnation drops the engine's cache entries, load and health.
     void onLoadReport(EngineIndex engine, const LoadReport &report, TimePoint now);
 
+    /// Applies cache events, see CacheView::applyEvents. Events of unlisted engines are ignored; a new incarnation is handled as in
+    /// onLoadReport.
     void onCacheEvents(EngineIndex engine, std::uint64_t incarnation, std::uint64_t firstSequence, std::span<const CacheEvent> events);
 
+    /// Replaces the cache entries of a listed engine, see CacheView::resync. A new incarnation drops only the cache entries here; load
+    /// and health follow with the next report or event.
     void onCacheResync(EngineIndex engine, std::uint64_t incarnation, std::uint64_t nextSequence, std::span<const BlockHash> blocks);
 
     /// Returns the number of requests sent by this host that have not ended.
@@ -203,7 +217,7 @@
         const PlacementRequest *request = nullptr;
         const VersionedChain *chain = nullptr;
         TimePoint now;
-        double minCost = 0; // Over all usable engines, including busy ones.
+        double minCost = 0; // Over all engines that isUsable() accepts, including busy ones.
         double bestCost = 0;
         std::optional<PlacementDecision> best = std::nullopt; // Among the engines that can take the request now.
         bool foundServing = false;
--- a/decision/prefix_chain.h
+++ b/decision/prefix_chain.h
@@ -13,8 +13,9 @@
 
 using BlockHash = std::uint64_t;
 
-/// Bytes of text in one block, about a thousand tokens. Engines cache in units of that size: smaller blocks would give no more
-/// information about a cache, and larger ones would miss cached prefixes.
+/// Bytes of text in one block, about a thousand tokens. Engines that report cached blocks of text do so in units of that size: smaller
+/// blocks would give no more information about a cache, and larger ones would miss cached prefixes. Prompts that come in parts have
+/// smaller blocks, see partBlockTokens.
 inline constexpr std::size_t prefixBlockBytes = 4096;
 
 /// Tokens per block.
--- a/decision/prefix_heat.cpp
+++ b/decision/prefix_heat.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-/// Prefixes whose load is tracked. A prefix is relevant from a twentieth of an engine's load on, so 1,000 engines have at most 20,000.
+/// Prefixes whose load is tracked. Only prefixes with at least a twentieth of an engine's load matter; with 1,000 engines there are at most
+/// 20,000 of them per level.
 constexpr std::size_t entryCount = 32'768;
 /// Slots per set that may hold a prefix; the one with the least load is replaced.
 constexpr std::size_t associativity = 4;
--- a/decision/prefix_heat.h
+++ b/decision/prefix_heat.h
@@ -18,10 +18,12 @@
     std::size_t candidates = 2; ///< Winners that are evaluated; at least two, so that there is a choice.
 };
 
-/// Tracks the load of prefixes and finds the hot ones. Designed for a few very hot prefixes that change over time: without it all
-/// requests of a hot prefix would queue on the two engines that its hash selects while others are idle. A prefix whose load exceeds
-/// the limit of its candidates is split one level deeper if its children are shared as well, otherwise it gets more candidates.
-/// A split is undone at half the load at which it was made, so that a steady load does not alternate between the two.
+/// Tracks the load of prefixes and finds the hot ones. Prefixes are measured at levels, which are lengths of 1, 2, 4 to 256 blocks; the
+/// children of a prefix are its continuations at the next level. To split a prefix is to use the hash of the child as the rendezvous
+/// key. A prefix of unknown load has its key at 16 blocks, or at the longest level of a shorter prompt. Designed for a few very hot prefixes that change over
+/// time: without it all requests of a hot prefix would queue on the two engines that its hash selects while others are idle. A prefix whose load exceeds the
+/// limit of its candidates is split one level deeper if its children are shared as well, otherwise it gets more candidates, 16 at most. A split is undone at
+/// half the load at which it was made, so that a steady load does not alternate between the two.
 class PrefixHeat
 {
 public:
--- a/decision/rendezvous.cpp
+++ b/decision/rendezvous.cpp
@@ -35,9 +35,9 @@
 
 } // namespace
 
-std::uint64_t rendezvousId(std::string_view engineName)
+std::uint64_t rendezvousId(std::string_view name)
 {
-    return XXH3_64bits(engineName.data(), engineName.size());
+    return XXH3_64bits(name.data(), name.size());
 }
 
 std::size_t rendezvousWinners(std::uint64_t key, std::span<const RendezvousNode> nodes, std::span<EngineIndex> winners)
--- a/decision/rendezvous.h
+++ b/decision/rendezvous.h
@@ -22,7 +22,8 @@
     float inverseWeight = 1; ///< 1 / configured weight of the engine; must not depend on what one host has measured.
 };
 
-std::uint64_t rendezvousId(std::string_view engineName);
+/// Returns the hash of the name of an engine or host, or of a key; the same on every host.
+std::uint64_t rendezvousId(std::string_view name);
 
 /// Writes the engines that win `key`, best first, and returns their number: the smaller of both sizes, 16 at most.
 std::size_t rendezvousWinners(std::uint64_t key, std::span<const RendezvousNode> nodes, std::span<EngineIndex> winners);
--- a/gateway/cache_plan.cpp
+++ b/gateway/cache_plan.cpp
@@ -13,7 +13,8 @@
 /// every second save, and fetches wait behind them. With the limit, engines recompute a quarter fewer shared tokens.
 constexpr std::uint32_t maxPromptToSharedRatio = 4;
 
-/// Whether the engine has to compute some of the shared parts. Its cached tokens are known in whole blocks only.
+/// Whether the engine has to compute some of the shared parts. Its cached tokens are known in whole blocks only, so
+/// shared parts that are shorter than a block always count as uncached.
 bool hasUncachedBlocks(const CachePlanInput &input)
 {
     const std::uint32_t wholeBlockTokens = input.sharedTokens / partBlockTokens * partBlockTokens;
@@ -22,14 +23,14 @@
 
 } // namespace
 
-/// Short shared parts are fetched as well: a fetch of 570 tokens takes a few milliseconds, as long as computing them, but leaves the engine
-/// free for other requests.
 CachePlan planCache(const CachePlanInput &input)
 {
     CachePlan plan;
     if (input.sharedTokens == 0) {
         return plan;
     }
+    // Short shared parts are fetched as well: a fetch of 570 tokens takes a few milliseconds, as long as computing them, but leaves the
+    // engine free for other requests.
     // The cache store keeps only prompts of the last few seconds of the whole fleet; an engine that was sent the prefix keeps it longer.
     plan.fetchFrom = input.holder != nullptr ? hostAddressText(input.holder->address) : std::string(input.store);
     if (hasUncachedBlocks(input) && input.sharedTokens * maxPromptToSharedRatio >= input.promptTokens) {
--- a/gateway/cache_plan.h
+++ b/gateway/cache_plan.h
@@ -23,9 +23,12 @@
 struct CachePlan
 {
     std::string fetchFrom; ///< Address of an engine or cache store; empty for none.
-    std::string_view saveTo; ///< Address of the cache store; empty if the prompt is not to be saved.
+    std::string_view saveTo; ///< Address of the cache store, a view of the input's `store`; empty if the prompt is not to be saved.
 };
 
+/// Plans the transfers for one prompt. The plan is empty if no part of the prompt is shared. Otherwise the engine fetches from `holder`, or
+/// from `store` if no holder is known, also if it may hold all shared parts already. The prompt is saved if the engine has to compute
+/// some of the shared parts and at least a quarter of the prompt is shared.
 CachePlan planCache(const CachePlanInput &input);
 
 } // namespace Lovageloft
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -361,12 +361,12 @@
     return table_ != nullptr && proofAge(now) < options_.limits.keyProofWindow - keyProofMargin;
 }
 
-bool Gateway::isTableCurrent(TimePoint now) const
+bool Gateway::isTableProofRecent(TimePoint now) const
 {
     return table_ != nullptr && proofAge(now) < options_.limits.configurationWindow;
 }
 
-bool Gateway::isTableOutdated(TimePoint now) const
+bool Gateway::isNewerTableOverdue(TimePoint now) const
 {
     return freshness_.isOutdated(now, options_.limits.configurationWindow);
 }
@@ -591,7 +591,7 @@
 
 bool Gateway::isReady(TimePoint now) const
 {
-    return !drainStartedAt_ && hasTargets_ && isKeyProofValid(now) && !isTableOutdated(now);
+    return !drainStartedAt_ && hasTargets_ && isKeyProofValid(now) && !isNewerTableOverdue(now);
 }
 
 } // namespace Lovageloft
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -160,20 +160,23 @@
     CallerLimits callerLimits() const;
     bool isDraining() const;
 
-    /// Whether the configuration is proven recent enough that no key in it was withdrawn more than `keyProofWindow` ago.
+    /// Whether the configuration is proven recent enough that no key in it was withdrawn more than `keyProofWindow` ago, even when the
+    /// request reaches its target a moment later. False before the first configuration.
     bool isKeyProofValid(TimePoint now) const;
 
-    /// Whether the configuration is proven recent enough to contain everything added more than `configurationWindow` ago.
-    bool isTableCurrent(TimePoint now) const;
+    /// Whether the configuration is proven recent enough to contain everything added more than `configurationWindow` ago. False
+    /// before the first configuration.
+    bool isTableProofRecent(TimePoint now) const;
 
     /// Whether the configuration must not be used any more, as a newer one is known to exist and has been in force for too long.
-    bool isTableOutdated(TimePoint now) const;
+    bool isNewerTableOverdue(TimePoint now) const;
 
     /// Time since the configuration in force was last known to be the newest one.
     Duration proofAge(TimePoint now) const;
 
-    /// Address of the cache store that an engine should use; empty if none responds. Fetching 13,000 tokens takes an engine about half the
-    /// time of computing them, and after a change of weights each prefix is computed once instead of once per engine.
+    /// Address of the cache store that an engine should use: one in the target's data centre, else the first one that responds; empty if none
+    /// does. Requires a configuration. Fetching 13,000 tokens takes an engine about half the time of computing them, and after a change of weights each prefix
+    /// is computed once instead of once per engine.
     std::string_view cacheStoreFor(const Target &target) const;
 
     /// A cache store has begun or stopped to respond. An unreachable store would delay each request by some hundred milliseconds.
--- a/gateway/request_dispatch.cpp
+++ b/gateway/request_dispatch.cpp
@@ -155,7 +155,7 @@
     scheduler_.onDispatchedByPeer(notice.engine, notice.workTokens, notice.newTokens, notice.blocks, BootClock::now());
 }
 
-void RequestDispatch::onTargetLoad(std::string_view engineName, const Target &target, const TargetLoad &load)
+void RequestDispatch::onTargetLoad(std::string_view targetId, const Target &target, const TargetLoad &load)
 {
     if (!target.models.empty()) {
         // An engine counts a prompt that it is computing as running, so its counts would hide the long prompts that are known from the
@@ -168,7 +168,7 @@
     report.runningRequests = load.running;
     report.waitingRequests = load.waiting;
     report.queuedPrefillTokens = load.waiting * serviceCallWorkTokens;
-    scheduler_.onLoadReport(engineName, report, BootClock::now());
+    scheduler_.onLoadReport(targetId, report, BootClock::now());
 }
 
 std::size_t RequestDispatch::waitingCount() const
--- a/gateway/request_dispatch.h
+++ b/gateway/request_dispatch.h
@@ -68,8 +68,8 @@
     /// Another host sent a long prompt to an engine.
     void onDispatchedByPeer(const DispatchNotice &notice);
 
-    /// A target reported its load.
-    void onTargetLoad(std::string_view engineName, const Target &target, const TargetLoad &load);
+    /// A target reported its load. Reports of engines are ignored here; the load of other targets goes to the scheduler.
+    void onTargetLoad(std::string_view targetId, const Target &target, const TargetLoad &load);
 
     std::size_t waitingCount() const;
     std::size_t runningCount() const;
--- a/gateway/request_intake.cpp
+++ b/gateway/request_intake.cpp
@@ -166,7 +166,7 @@
         reason = {ResultCode::NotFresh, "no configuration has been read yet"};
         return false;
     }
-    if (gateway_.isTableOutdated(BootClock::now())) {
+    if (gateway_.isNewerTableOverdue(BootClock::now())) {
         reason = {ResultCode::NotFresh, "a newer configuration is in force and has not been read yet"};
         return false;
     }
@@ -181,7 +181,7 @@
         return true;
     }
     reason = {ResultCode::UnknownPath, "no route has this host and path"};
-    if (!gateway_.isTableCurrent(BootClock::now())) {
+    if (!gateway_.isTableProofRecent(BootClock::now())) {
         // The route may be newer than this host's configuration, and callers don't retry after "not found".
         reason = {ResultCode::NotFresh, "the configuration is too old to say that there is no such route"};
     }
@@ -204,7 +204,7 @@
         return true;
     }
     reason = {caller_.key.empty() ? ResultCode::MissingKey : ResultCode::UnknownKey, "no team has this key"};
-    if (!gateway_.isTableCurrent(BootClock::now())) {
+    if (!gateway_.isTableProofRecent(BootClock::now())) {
         reason = {ResultCode::NotFresh, "the configuration is too old to say that the key is unknown"};
     }
     return false;
--- a/gateway/request_intake.h
+++ b/gateway/request_intake.h
@@ -20,14 +20,14 @@
 class RequestIntake
 {
 public:
-    /// Both must outlive the intake.
+    /// `gateway` and `head` must outlive the intake.
     RequestIntake(const Gateway &gateway, const HttpHead &head);
 
     /// Runs all filters; false with a reason if one refuses the request.
     bool run(Reason &reason);
 
-    /// Checks the request against the newest configuration, which may have changed while the request was queued: a withdrawn key or a moved
-    /// route must not be used. False with a reason if the request must not be sent.
+    /// Checks the request against the newest configuration, which may have changed while the request was queued: a withdrawn key, or a
+    /// route that no longer leads to the chosen service, must not be used. False with a reason if the request must not be sent.
     bool recheck(Reason &reason);
 
     const CallerRequest &caller() const;
@@ -35,24 +35,27 @@
     /// Version of the configuration used by the last check; 0 before the first check.
     std::int64_t configurationVersion() const;
 
-    /// Null until the route is found.
+    /// Null until the route is found. `isStream`, `priority` and `schedulerRequest` require a route.
     const Route *route() const;
     bool isStream() const;
+
+    /// Service chosen from the route's split; empty until the route is found.
     const std::string &service() const;
 
-    /// Empty on public routes and until the key is found.
+    /// Empty until the key is found, on public routes, and if the configuration has no teams. After a recheck that needs no key any more,
+    /// the name found before stays.
     const std::string &teamName() const;
 
-    /// Priority of the team if it has one, otherwise of the route; 0 is the most urgent.
+    /// Priority of the team if it has one, otherwise of the route: 0 is the most urgent, 2 the least; schedulerRequest() clamps other values.
     int priority() const;
 
     /// The team's name if the team is isolated, otherwise empty. Only prompts with the same scope share cache entries.
     std::string cacheScope() const;
 
-    /// Digest that is the same for each attempt of the same caller with the same body. Call it after `run` has succeeded.
+    /// Digest of method, Host header, path, key and body, so the same for each attempt of a caller. Call it after `run` has succeeded.
     RequestFingerprint fingerprint(std::string_view body) const;
 
-    /// Tokens that the team is charged for the request.
+    /// Tokens that the team is charged: prompt and output tokens, or the team's fixed charge for calls without a prompt. Requires a team.
     double chargedTokens() const;
 
     /// Tokens of `sharedParts`.
--- a/gateway/request_log.cpp
+++ b/gateway/request_log.cpp
@@ -35,7 +35,7 @@
              {{"request", intake_.caller().id}, {"target", target}, {"status", std::int64_t{status}}, {"other_target", isTargetMismatch}});
 }
 
-void RequestLog::lost(std::string_view target, RequestFingerprint fingerprint, std::string_view why, bool wasNotSent, bool wasRelayed) const
+void RequestLog::lost(std::string_view target, RequestFingerprint fingerprint, std::string_view why, bool wasNotSent, bool isAnswerStarted) const
 {
     writeLog(LogLevel::Info,
              "target_lost",
@@ -44,7 +44,7 @@
               {"fingerprint", fingerprintText(fingerprint)},
               {"why", why},
               {"not_sent", wasNotSent},
-              {"relayed", wasRelayed}});
+              {"relayed", isAnswerStarted}});
 }
 
 void RequestLog::stalled(std::string_view target, Duration silence) const
--- a/gateway/request_metrics.h
+++ b/gateway/request_metrics.h
@@ -15,14 +15,14 @@
 {
     std::optional<RouteKind> kind; ///< Not set if no route was found.
     std::string_view service; ///< Service that the request was routed to; empty if it was refused before.
-    std::string_view outcome; ///< As in the log: "answered", a result code's name, or how the request was aborted.
-    int status = 0; ///< HTTP status of the response; 0 without one.
+    std::string_view outcome; ///< As in the log: "answered", a result code's name, "caller_gone", "broken_off" or "abandoned".
+    int status = 0; ///< HTTP status of the last response read or generated, even if the caller could not get it any more; 0 without one.
     int sends = 0; ///< Targets that received the request.
     Duration duration{}; ///< From reading the request to its end.
     std::optional<Duration> queueTime; ///< From reading the request to sending it to the first target.
     std::optional<Duration> timeToFirstByte; ///< From reading the request to the first byte of the response.
     std::string_view target; ///< Id of the last target; empty if there was none.
-    std::size_t bytes = 0; ///< Bytes of the response body.
+    std::size_t bytes = 0; ///< Bytes of the target's response body relayed to the caller; 0 for refusals.
 };
 
 /// Counts a request and adds its times to the histograms. The labels are route kind and service, for the count also outcome and status.
--- a/gateway/routed_request.cpp
+++ b/gateway/routed_request.cpp
@@ -14,14 +14,14 @@
 namespace
 {
 
-/// Responses up to this size are buffered until they are complete, so that a request whose target is lost can be retried without the
+/// Responses other than streams up to this size are buffered until they are complete, so that a request whose target is lost can be retried without the
 /// caller noticing.
 constexpr std::size_t maxBufferedAnswerBytes = 262'144;
 
 /// Unsent bytes for a slow caller above which reading from the target pauses.
 constexpr std::size_t maxCallerBacklogBytes = 262'144;
 
-/// Limit on the targets that one request is sent to, including those that decline it without running it.
+/// Maximum targets tried for one request, including unreachable ones and those that decline it without running it.
 constexpr int maxSends = 4;
 
 /// Time without a response after which an idempotent request is retried on another target, as a multiple of the route's latency target.
@@ -150,7 +150,7 @@
     targetId_ = assignment.engine;
     expectedCached_ = assignment.expectedCachedTokens;
     isExpectedLate_ = BootClock::now() + fromSeconds(assignment.expectedFirstTokenSeconds) > startedAt_ + intake_.route()->latencyTarget;
-    holder_ = assignment.holder;
+    cacheHolderId_ = assignment.holder;
     Reason reason;
     if (!intake_.recheck(reason)) {
         endDispatch(DispatchResult::Cancelled);
@@ -197,7 +197,7 @@
     CachePlan plan;
     const std::string_view lastEventId = events_.lastId().empty() ? std::string_view(intake_.caller().lastEventId) : std::string_view(events_.lastId());
     const TargetRequest request =
-        makeTargetRequest(gateway_, intake_, {target, timeLeft(now), lastEventId, expectedCached_, holder_, isExpectedLate_}, salt, plan);
+        makeTargetRequest(gateway_, intake_, {target, timeLeft(now), lastEventId, expectedCached_, cacheHolderId_, isExpectedLate_}, salt, plan);
     std::string bytes = gateway_.targetProtocol().writeHead(head_, request, body_.size());
     bytes.append(body_);
     connection_ = gateway_.pool().acquire(target, intake_.route()->isIdempotent(), now);
--- a/gateway/routed_request.h
+++ b/gateway/routed_request.h
@@ -26,7 +26,7 @@
 /// targets and relays the response. The caller's side and the target's side are in one object on one thread, so that a disconnected
 /// caller, a lost target and a passed deadline reach the other side by a plain function call.
 ///
-/// RequestIntake parses and authorizes the request; then its team is charged and the request is queued.
+/// RequestIntake parses the request and authenticates its caller; then its team is charged and the request is queued.
 class RoutedRequest final : public std::enable_shared_from_this<RoutedRequest>, private ExchangeEvents
 {
 public:
@@ -58,7 +58,7 @@
 private:
     enum class Phase : std::uint8_t
     {
-        Filtering, ///< The intake's filters run or the team is being charged.
+        Accepting, ///< The request waits for the first configuration, is checked by the intake, or its team is being charged.
         Queued,
         Sent, ///< A target has the request and has not responded yet.
         Answering, ///< The target's response is being read.
@@ -112,7 +112,7 @@
     RequestFingerprint fingerprint_{};
     std::uint64_t targetIncarnationDigest_ = 0; ///< Digest of the current target's id and incarnation.
     double chargedTokens_ = 0; ///< Tokens consumed from the team's rate.
-    Phase phase_ = Phase::Filtering;
+    Phase phase_ = Phase::Accepting;
     TimePoint startedAt_;
     TimePoint deadline_; ///< When the caller must have its final response, or when an orphaned call is abandoned.
     TimePoint sentAt_;
@@ -121,14 +121,14 @@
     boost::asio::steady_timer timer_;
     std::shared_ptr<TargetConnection> connection_;
     std::string targetId_;
-    std::string holder_; ///< Another engine that is expected to have more of the prompt in its cache; may be empty.
+    std::string cacheHolderId_; ///< Id of another engine that is expected to have more of the prompt in its cache; may be empty.
     std::uint32_t expectedCached_ = 0; ///< Prompt tokens expected in the target's cache.
     std::vector<std::string> failedTargets_;
     bool isExpectedLate_ = false; ///< The first token is expected after the route's latency target.
-    int attempts_ = 0; ///< Targets that may have run the request.
+    int attempts_ = 0; ///< Sends that count against the route's maxAttempts: all but declined and unreachable ones.
     int sends_ = 0; ///< Targets that received the request, including those that declined it.
     int unreachableTargets_ = 0; ///< Targets that could not be reached.
-    bool mayHaveRun_ = false; ///< Any target may have run the request.
+    bool mayHaveRun_ = false; ///< An earlier target may have run the request; for the current one see isRunning().
     std::string bufferedBody_; ///< Part of the response body that has not been relayed yet.
     HttpHead answerHead_;
     EventSplitter events_;
--- a/gateway/team_budget.h
+++ b/gateway/team_budget.h
@@ -59,7 +59,7 @@
     void onTick(TimePoint now, const RequestSender &send);
     std::optional<TimePoint> nextTimeout() const;
 
-    /// Returns the tokens of a request that did not run.
+    /// Returns the tokens of a request that did not run to the local share of this host, also if a home's pool granted them.
     void refund(std::string_view team, double tokens);
 
 private:
--- a/tests/decision/replay/engine_model.h
+++ b/tests/decision/replay/engine_model.h
@@ -35,6 +35,7 @@
     static constexpr std::uint32_t batchLimit = 64;
     static constexpr std::size_t cacheBlocks = 600;
 
+    /// Queues a request.
     void submit(const EngineJob &job);
 
     /// Starts the next prefill if possible; returns the time at which it will be done.
@@ -43,7 +44,10 @@
     /// Ends the running prefill and returns its job, which now has its first token.
     EngineJob finishPrefill();
 
+    /// Returns the seconds from the first token of a job to the end of its answer.
     double answerSeconds(const EngineJob &job) const;
+
+    /// Ends the generation of one answer.
     void finishAnswer();
 
     /// Clears the queue and the cache, as a crash or new weights do; returns the queued and computed jobs, without those generating.
@@ -55,7 +59,7 @@
     double exactFirstToken(std::span<const BlockHash> chain, std::uint32_t promptTokens, double now) const;
     std::uint32_t exactCachedTokens(std::span<const BlockHash> chain, std::uint32_t promptTokens) const;
 
-    double speed = 1;
+    double speed = 1; ///< Factor; 1 is normal.
     bool isUp = true;
     bool isLeaving = false; ///< True while it gets no new requests before loading new weights.
     std::uint32_t version = 1;
@@ -74,7 +78,7 @@
     std::optional<EngineJob> current_;
     double currentStart_ = 0;
     double currentDone_ = 0;
-    double computedTokens_ = 1;
+    double computedTokens_ = 1; // Not 0 at the start, which would mean "not reported" in a LoadReport.
     std::uint32_t running_ = 0;
     std::list<BlockHash> recent_; // Most recently used first.
     std::unordered_map<BlockHash, std::list<BlockHash>::iterator> cache_;
--- a/tests/decision/replay/placing_policy.cpp
+++ b/tests/decision/replay/placement_strategy.cpp
@@ -1,4 +1,4 @@
-#include "replay/placing_policy.h"
+#include "replay/placement_strategy.h"
 
 #include <algorithm>
 #include <array>
@@ -13,7 +13,7 @@
 {
 
 /// Base class of the baselines: avoids an engine for two seconds after a failure.
-class Baseline : public PlacingPolicy
+class Baseline : public PlacementStrategy
 {
 public:
     void failed(DispatchId /*id*/, EngineIndex engine, TimePoint now) override
@@ -147,10 +147,10 @@
     }
 };
 
-class Oracle : public PlacingPolicy
+class Oracle : public PlacementStrategy
 {
 public:
-    explicit Oracle(const PolicyContext &context, bool isGreedy = false)
+    explicit Oracle(const StrategyContext &context, bool isGreedy = false)
         : engines_(context.engines)
         , policy_(context.placement)
         , isGreedy_(isGreedy)
@@ -223,16 +223,16 @@
 class GreedyOracle : public Oracle
 {
 public:
-    explicit GreedyOracle(const PolicyContext &context)
+    explicit GreedyOracle(const StrategyContext &context)
         : Oracle(context, true)
     {
     }
 };
 
-class PlacementAdapter : public PlacingPolicy
+class PlacementAdapter : public PlacementStrategy
 {
 public:
-    explicit PlacementAdapter(const PolicyContext &context)
+    explicit PlacementAdapter(const StrategyContext &context)
         : placement_(context.placement)
     {
         placement_.setHostCount(context.hostCount);
@@ -297,23 +297,23 @@
     Placement placement_;
 };
 
-template <typename Policy>
-std::unique_ptr<PlacingPolicy> makePolicy(const PolicyContext & /*context*/)
+template <typename Strategy>
+std::unique_ptr<PlacementStrategy> makeStrategy(const StrategyContext & /*context*/)
 {
-    return std::make_unique<Policy>();
+    return std::make_unique<Strategy>();
 }
 
-template <typename Policy>
-std::unique_ptr<PlacingPolicy> makeFromContext(const PolicyContext &context)
+template <typename Strategy>
+std::unique_ptr<PlacementStrategy> makeFromContext(const StrategyContext &context)
 {
-    return std::make_unique<Policy>(context);
+    return std::make_unique<Strategy>(context);
 }
 
-constexpr std::array specs = std::to_array<PolicySpec>({
-    {"random", makePolicy<RandomChoice>},
-    {"round-robin", makePolicy<RoundRobin>},
-    {"least-loaded", makePolicy<LeastLoaded>},
-    {"bounded-hash", makePolicy<BoundedHash>, false},
+constexpr std::array specs = std::to_array<StrategySpec>({
+    {"random", makeStrategy<RandomChoice>},
+    {"round-robin", makeStrategy<RoundRobin>},
+    {"least-loaded", makeStrategy<LeastLoaded>},
+    {"bounded-hash", makeStrategy<BoundedHash>, false},
     {"ours", makeFromContext<PlacementAdapter>},
     {"oracle", makeFromContext<Oracle>},
     {"greedy-oracle", makeFromContext<GreedyOracle>},
@@ -321,14 +321,14 @@
 
 } // namespace
 
-std::span<const PolicySpec> policySpecs()
+std::span<const StrategySpec> strategySpecs()
 {
     return specs;
 }
 
-const PolicySpec &policySpec(std::string_view name)
+const StrategySpec &strategySpec(std::string_view name)
 {
-    return *std::find_if(specs.begin(), specs.end(), [name](const PolicySpec &spec) { return spec.name == name; });
+    return *std::find_if(specs.begin(), specs.end(), [name](const StrategySpec &spec) { return spec.name == name; });
 }
 
 } // namespace Lovageloft
--- a/tests/decision/replay/placing_policy.h
+++ b/tests/decision/replay/placement_strategy.h
@@ -15,21 +15,22 @@
 
 /// Strategy by which one router chooses engines: the router's own Placement or a baseline for comparison. There is one object per
 /// router; all but the oracles know only what is reported to them.
-class PlacingPolicy
+class PlacementStrategy
 {
 public:
     struct Placed
     {
         EngineIndex engine = 0;
-        PlacementDecision decision; ///< Set by the policy "ours" only.
+        PlacementDecision decision; ///< Set by the strategy "ours" only.
     };
 
-    virtual ~PlacingPolicy() = default;
+    virtual ~PlacementStrategy() = default;
 
     /// Chooses an engine; `isWindowOpen` tells which engines have room in their windows.
     virtual std::optional<Placed> place(const PlacementRequest &request, std::span<const char> isWindowOpen, TimePoint now, Random &random) = 0;
 
-    /// Returns the expected prompt tokens to compute, for the queueing cost.
+    /// Returns the expected prompt tokens to compute, for the queueing cost. By default three quarters of the prompt are assumed to be
+    /// cached.
     virtual std::uint32_t missedTokens(const PlacementRequest &request) const
     {
         return request.promptTokens / 4;
@@ -70,24 +71,25 @@
     }
 };
 
-/// Input of a policy's factory.
-struct PolicyContext
+/// Input of a strategy's factory.
+struct StrategyContext
 {
     std::span<const EngineModel> engines; ///< For the oracles only.
     std::size_t hostCount = 1;
     PlacementPolicy placement; ///< Parameters of "ours" and the oracles.
 };
 
-/// Name and factory of one policy.
-struct PolicySpec
+/// Name and factory of one strategy.
+struct StrategySpec
 {
     std::string_view name;
-    std::unique_ptr<PlacingPolicy> (*make)(const PolicyContext &context) = nullptr;
+    std::unique_ptr<PlacementStrategy> (*make)(const StrategyContext &context) = nullptr;
     bool obeysWindows = true; ///< False for bounded-hash, which does better with its own bound alone.
 };
 
-/// Returns all policies: random, round-robin, least-loaded, bounded-hash, ours, oracle, greedy-oracle.
-std::span<const PolicySpec> policySpecs();
-const PolicySpec &policySpec(std::string_view name);
+/// Returns all strategies: random, round-robin, least-loaded, bounded-hash, ours (the router's own Placement), oracle, greedy-oracle.
+std::span<const StrategySpec> strategySpecs();
+/// Returns the strategy with this name, which must exist.
+const StrategySpec &strategySpec(std::string_view name);
 
 } // namespace Lovageloft
--- a/tests/decision/replay/replay.cpp
+++ b/tests/decision/replay/replay.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr double publishIntervalSeconds = 0.25;
-/// Fraction of a trace that is not measured, as all caches are empty at the start with any policy.
+/// Fraction of a trace that is not measured, as all caches are empty at the start with any strategy.
 constexpr double warmUpFraction = 0.2;
 /// Seconds before the deadline at which a request must have left its queue; reserved for the engine.
 constexpr double reservedEngineSeconds = 4;
@@ -47,9 +47,9 @@
 
 } // namespace
 
-Replay::Replay(const Trace &trace, const PolicySpec &policy, std::uint64_t seed, const PlacementPolicy &placement)
+Replay::Replay(const Trace &trace, const StrategySpec &strategy, std::uint64_t seed, const PlacementPolicy &placement)
     : trace_(trace)
-    , policy_(policy)
+    , strategy_(strategy)
     , placement_(placement)
     , random_(seed)
     , engines_(engineCount)
@@ -114,7 +114,7 @@
 {
     const TraceRequest &request = trace_.requests[index];
     progress_[index].state = State::Waiting;
-    const std::uint32_t cost = router.policy->missedTokens(placementRequest(index)) + request.answerTokens;
+    const std::uint32_t cost = router.strategy->missedTokens(placementRequest(index)) + request.answerTokens;
     const AdmissionDecision decision = router.queue->offer({.id = RequestId{index},
                                                             .team = TeamId{request.team},
                                                             .model = ModelId{request.model},
@@ -130,7 +130,7 @@
 {
     std::array<char, engineCount> isWindowOpen{};
     for (std::size_t engine = 0; engine < engineCount; ++engine) {
-        const bool hasRoom = !policy_.obeysWindows || router.windows[engine].canStart(1);
+        const bool hasRoom = !strategy_.obeysWindows || router.windows[engine].canStart(1);
         isWindowOpen[engine] = static_cast<char>(hasRoom && !engines_[engine].isLeaving);
     }
     return isWindowOpen;
@@ -138,9 +138,9 @@
 
 void Replay::dispatch(Router &router)
 {
-    std::optional<PlacingPolicy::Placed> placed;
+    std::optional<PlacementStrategy::Placed> placed;
     const auto canDispatch = [this, &router, &placed](const QueuedRequest &queued) {
-        placed = router.policy->place(placementRequest(static_cast<std::uint32_t>(queued.id)), openEngines(router), at(now_), random_);
+        placed = router.strategy->place(placementRequest(static_cast<std::uint32_t>(queued.id)), openEngines(router), at(now_), random_);
         return placed.has_value();
     };
     while (const auto queued = router.queue->next(at(now_), canDispatch)) {
@@ -152,15 +152,15 @@
     }
 }
 
-void Replay::send(Router &router, std::uint32_t index, const PlacingPolicy::Placed &placed, const PlacementRequest &request)
+void Replay::send(Router &router, std::uint32_t index, const PlacementStrategy::Placed &placed, const PlacementRequest &request)
 {
     Progress &progress = progress_[index];
     EngineModel &engine = engines_[placed.engine];
-    progress.state = State::Inside;
+    progress.state = State::InEngine;
     progress.engine = placed.engine;
     progress.routerEpoch = router.epoch;
-    progress.window = router.windows[placed.engine].start(std::max(1U, router.policy->missedTokens(request)), at(now_));
-    progress.dispatch = router.policy->dispatched(request, placed, at(now_));
+    progress.window = router.windows[placed.engine].start(std::max(1U, router.strategy->missedTokens(request)), at(now_));
+    progress.dispatch = router.strategy->dispatched(request, placed, at(now_));
     ++progress.attempt;
     if (!engine.isUp) {
         failAttempt(index);
@@ -195,7 +195,7 @@
     recordFirstToken(job.request, job);
     Router &router = routers_[progress.router];
     if (router.epoch == progress.routerEpoch) {
-        router.policy->firstToken(progress.dispatch, job.cachedTokens, at(now_));
+        router.strategy->firstToken(progress.dispatch, job.cachedTokens, at(now_));
         router.windows[progress.engine].onFirstToken(progress.window, at(now_));
     }
     schedule(now_ + engine.answerSeconds(job), EventKind::AnswerDone, job.request, job.attempt);
@@ -217,7 +217,7 @@
     startPrefill(progress.engine);
     Router &router = routers_[progress.router];
     if (router.epoch == progress.routerEpoch) {
-        router.policy->finished(progress.dispatch, at(now_));
+        router.strategy->finished(progress.dispatch, at(now_));
         router.windows[progress.engine].onFinished(progress.window, at(now_));
     }
     dispatch(router);
@@ -250,7 +250,7 @@
     Router &router = routers_[progress.router];
     const bool hadStarted = engines_[progress.engine].isUp;
     if (router.epoch == progress.routerEpoch) {
-        router.policy->failed(progress.dispatch, progress.engine, at(now_));
+        router.strategy->failed(progress.dispatch, progress.engine, at(now_));
         router.windows[progress.engine].onFailed(progress.window, at(now_));
         router.windows[progress.engine].onFinished(progress.window, at(now_));
     }
@@ -270,7 +270,7 @@
     engine.restart();
     for (std::uint32_t i = 0; i < progress_.size(); ++i) {
         Progress &progress = progress_[i];
-        if (progress.engine == index && (progress.state == State::Inside || progress.state == State::Generating)) {
+        if (progress.engine == index && (progress.state == State::InEngine || progress.state == State::Generating)) {
             failAttempt(i);
         }
     }
@@ -320,7 +320,7 @@
 void Replay::startRouter(Router &router)
 {
     ++router.epoch;
-    router.policy = policy_.make({.engines = engines_, .hostCount = routerCount, .placement = placement_});
+    router.strategy = strategy_.make({.engines = engines_, .hostCount = routerCount, .placement = placement_});
     if (!router.queue) {
         router.queue = std::make_unique<AdmissionQueue>(QueueLimits{.initialRate = hostTokensPerSecond});
     }
@@ -340,8 +340,8 @@
                        .isServing = !engines_[i].isLeaving};
     }
     for (Router &router : routers_) {
-        if (router.policy) {
-            router.policy->setEngines(statuses);
+        if (router.strategy) {
+            router.strategy->setEngines(statuses);
         }
     }
 }
@@ -366,10 +366,10 @@
 {
     Message &message = messages_[event.detail];
     for (Router &router : routers_) {
-        router.policy->loadReport(message.engine, message.report, at(now_));
+        router.strategy->loadReport(message.engine, message.report, at(now_));
         const bool isLost = static_cast<double>(randomBelow(random_, 10'000)) < trace_.eventLoss * 10'000;
         if (!isLost) {
-            router.policy->cacheEvents(message.engine, message.report.incarnation, message.firstSequence, message.events);
+            router.strategy->cacheEvents(message.engine, message.report.incarnation, message.firstSequence, message.events);
         }
     }
     message.events = {};
@@ -378,7 +378,7 @@
 void Replay::recordEjections(Router &router)
 {
     for (std::size_t engine = 0; engine < engineCount; ++engine) {
-        const bool isEjected = router.policy->isEjected(static_cast<EngineIndex>(engine));
+        const bool isEjected = router.strategy->isEjected(static_cast<EngineIndex>(engine));
         if (isEjected == router.isEjected[engine]) {
             continue;
         }
--- a/tests/decision/replay/replay.h
+++ b/tests/decision/replay/replay.h
@@ -8,13 +8,14 @@
 
 #include "decision/admission_queue.h"
 #include "decision/engine_window.h"
-#include "replay/placing_policy.h"
+#include "replay/placement_strategy.h"
 #include "replay/trace.h"
 
 namespace Lovageloft
 {
 
-/// Results of a replay as seen by the callers, without the team that exceeds its rate. Times are in seconds.
+/// Results of a replay as seen by the callers, without the team that exceeds its rate and without the first 20% of the trace, in which
+/// the caches fill. Times are in seconds.
 struct ReplayResult
 {
     std::size_t requests = 0;
@@ -41,7 +42,7 @@
 class Replay
 {
 public:
-    Replay(const Trace &trace, const PolicySpec &policy, std::uint64_t seed, const PlacementPolicy &placement = {});
+    Replay(const Trace &trace, const StrategySpec &strategy, std::uint64_t seed, const PlacementPolicy &placement = {});
 
     ReplayResult run();
 
@@ -88,7 +89,7 @@
     {
         New,
         Waiting,
-        Inside,
+        InEngine,
         Generating,
         Done,
     };
@@ -109,7 +110,7 @@
 
     struct Router
     {
-        std::unique_ptr<PlacingPolicy> policy;
+        std::unique_ptr<PlacementStrategy> strategy;
         std::unique_ptr<AdmissionQueue> queue;
         std::array<EngineWindow, engineCount> windows;
         std::array<bool, engineCount> isEjected{};
@@ -135,7 +136,7 @@
     void offer(Router &router, std::uint32_t index);
     std::array<char, engineCount> openEngines(const Router &router) const;
     void dispatch(Router &router);
-    void send(Router &router, std::uint32_t index, const PlacingPolicy::Placed &placed, const PlacementRequest &request);
+    void send(Router &router, std::uint32_t index, const PlacementStrategy::Placed &placed, const PlacementRequest &request);
     void failAttempt(std::uint32_t index);
     void stopEngine(EngineIndex engine, double downSeconds);
     void startPrefill(EngineIndex engine);
@@ -147,7 +148,7 @@
     ReplayResult summarize() const;
 
     const Trace &trace_;
-    const PolicySpec &policy_;
+    const StrategySpec &strategy_;
     PlacementPolicy placement_;
     Random random_;
     double now_ = 0;
--- a/tests/decision/replay/trace.h
+++ b/tests/decision/replay/trace.h
@@ -46,15 +46,16 @@
     double time = 0;
     FaultKind kind = FaultKind::Speed;
     std::uint32_t engine = 0;
-    double factor = 1;
+    double factor = 1; ///< Speed factor or seconds, see FaultKind.
 };
 
-/// Required result of the policy "ours" on a trace. 0 means no requirement.
+/// Required result of the strategy "ours", the router's own Placement, on a trace. 0 means no requirement, except for maxWrongRefusals,
+/// where it allows none.
 struct Expectation
 {
     double minHitRateOfOracle = 0; ///< Minimum hit rate relative to the oracle's.
     double maxP99OfOracle = 0; ///< Maximum p99 time to the first token relative to the oracle's.
-    double maxP99OfLeastLoaded = 0; ///< Maximum p99 time to the first token relative to the policy "least-loaded".
+    double maxP99OfLeastLoaded = 0; ///< Maximum p99 time to the first token relative to the strategy "least-loaded".
     double worstTeamShare = 0; ///< Minimum of ReplayResult::worstTeamShare.
     double maxWrongRefusals = 0; ///< Maximum fraction of the requests within rate and capacity that are refused.
 };
@@ -76,7 +77,7 @@
 std::string formatTraceRequest(const TraceRequest &request);
 std::optional<TraceRequest> parseTraceRequest(std::string_view line, Reason &reason);
 
-/// The two deployments that the traces model.
+/// The two sample deployments that the traces model.
 enum class Deployment : std::uint8_t
 {
     YearbookDesk, ///< Nested chapters and tables, far more than fit one engine's cache.
--- a/tests/decision/test_replay.cpp
+++ b/tests/decision/test_replay.cpp
@@ -17,9 +17,9 @@
     return *std::find_if(shapes.begin(), shapes.end(), [name](const TraceShape &shape) { return shape.name == name; });
 }
 
-ReplayResult replay(const Trace &trace, std::string_view policy)
+ReplayResult replay(const Trace &trace, std::string_view strategy)
 {
-    return Replay(trace, policySpec(policy), 1).run();
+    return Replay(trace, strategySpec(strategy), 1).run();
 }
 
 /// Checks the expectation of the trace against the oracle and against least-loaded, the baseline.
