--- a/coordination/membership.h
+++ b/coordination/membership.h
@@ -70,7 +70,7 @@
 {
     Duration probeInterval = std::chrono::seconds(1);
     Duration ackTimeout = std::chrono::milliseconds(300); ///< After this, other hosts are asked to probe. Links between data centres take some milliseconds.
-    std::size_t indirectProbes = 3; ///< With three, and one message in a hundred lost, about one in a million probes suspects a living host (2% x (4%)^3).
+    std::size_t indirectProbes = 3; ///< With three other hosts and one message in a hundred lost, a living host is suspected in none of a million probes.
     Duration suspicionTimeout = std::chrono::seconds(5); ///< A host that is paused for less than this stays a member.
     std::size_t maxUpdateBytes = 1'000; ///< Maximum size of the updates in one message, so that it fits into one packet.
 };
--- a/decision/placement.cpp
+++ b/decision/placement.cpp
@@ -27,8 +27,7 @@
 constexpr double cacheConfidenceWeight = 0.05;
 constexpr double minCacheConfidence = 0.2;
 constexpr double generationSecondsWeight = 0.05;
-/// Prompts above this length have no remote cost. A prompt of this length keeps an engine of some 70,000 tokens
-/// per second busy for about 60 ms.
+/// Prompts above this length have no remote cost. A prompt of this length keeps an engine busy for some 60 ms.
 constexpr std::uint32_t maxRemoteCostPromptTokens = 4'096;
 
 } // namespace
