--- a/decision/placement.cpp
+++ b/decision/placement.cpp
@@ -286,8 +286,7 @@
         engines_.emplace_back();
         return static_cast<EngineIndex>(engines_.size() - 1);
     }
-    // Indexes are reused only after all were allocated, the one that has been free for longest first, so that no late event or
-    // answer still refers to the previous engine with the index.
+    // Indexes are reused only after all were allocated, the one free for longest first, so that no late event or answer still refers to the previous engine.
     if (freeIndexes_.empty()) {
         return std::nullopt;
     }
@@ -426,9 +425,8 @@
     }
 }
 
-/// Returns the cost of sending the request to another data centre, in seconds of wait. It is 0 for long prompts, which go where
-/// they start soonest: limited to one data centre, they would have only a third or a quarter of the engines and wait behind one
-/// another, and 2% of the longest would be late.
+/// Returns the cost of sending the request to another data centre, in seconds of wait. It is 0 for long prompts, which go where they start soonest: limited to
+/// one data centre, they would have only a third or a quarter of the engines and wait behind one another, and 2% of the longest would be late.
 double Placement::remoteCost(const PlacementRequest &request) const
 {
     constexpr double bytesPerKilobyte = 1'000;
@@ -516,19 +514,17 @@
     return missed * engine.prefillSecondsPerToken * (1 + attention);
 }
 
-/// Returns whether an engine with this expected wait may get a request. At saturation requests wait in this host's queue once an
-/// engine has a few seconds of work: those inside an engine can't be cancelled, reordered between teams or sent elsewhere. They
-/// are not sent to an engine without their prefix either: when all engines are busy, each prefix computed twice takes capacity
-/// from all requests, the queues grow, and the fleet does little but recompute prefixes even after the peak.
+/// Returns whether an engine with this expected wait may get a request. At saturation requests wait in this host's queue once an engine has a few seconds of
+/// work: those in an engine can't be cancelled, reordered between teams or sent elsewhere. They aren't sent to an engine without their prefix either: when all
+/// are busy, each prefix computed twice takes capacity from all requests, queues grow, and the fleet does little but recompute prefixes even after the peak.
 bool Placement::isWaitAcceptable(const Engine &engine, double wait) const
 {
     return wait <= (engine.isWindowOpen ? policy_.maxWaitWindowOpen : policy_.maxWaitWindowFull);
 }
 
-/// Returns whether a request whose first token is expected in `firstToken` seconds fits before the engine's deadline. A long
-/// request, or one behind long ones, could otherwise start after the deadline, and its caller would get an answer from weights
-/// that may no longer be used. An engine that is rejected here counts as not serving, so a request that no other engine can take
-/// is refused at once.
+/// Returns whether a request whose first token is expected in `firstToken` seconds fits before the engine's deadline. A long request, or one behind long ones,
+/// could otherwise start after the deadline, and its caller would get an answer from weights that may no longer be used. An engine that is rejected here counts
+/// as not serving, so a request that no other engine can take is refused at once.
 bool Placement::beginsInTime(const Engine &engine, double firstToken, TimePoint now) const
 {
     return !engine.firstTokenDeadline || now + fromSeconds(policy_.firstTokenSafetyFactor * firstToken) < *engine.firstTokenDeadline;
@@ -540,9 +536,8 @@
     return health_.slowdownFactor(index) * (engine.load.queueWait(now) + batchSlotWait(engine)) + overdueSeconds(engine, now);
 }
 
-/// Returns the seconds until the engine's batch has a free slot for a prompt sent now. Each other host is assumed to have sent as
-/// many requests since the last report as this one; if hosts counted only their own, all would fill the least loaded engine at
-/// the same time.
+/// Returns the seconds until the engine's batch has a free slot for a prompt sent now. Each other host is assumed to have sent as many requests since the last
+/// report as this one; if hosts counted only their own, all would fill the least loaded engine at the same time.
 double Placement::batchSlotWait(const Engine &engine) const
 {
     const LoadReport &report = engine.lastReport;
@@ -563,9 +558,8 @@
     return overdue > minOverdueSeconds && overdue > minOverdueRatio * oldest->nominalFirstTokenSeconds ? overdue : 0;
 }
 
-/// Compares the prompt tokens that the engine computed between two reports with its nominal speed. This shows a slow engine to all
-/// hosts within a second or two. From answers alone each host would need several late ones of its own, and each of 370 hosts sends
-/// an engine only one request every few seconds.
+/// Compares the prompt tokens that the engine computed between two reports with its nominal speed. This shows a slow engine to all hosts within a second or
+/// two. From answers alone each host would need several late ones of its own, and each of 370 hosts sends an engine only one request every few seconds.
 void Placement::observeSpeed(EngineIndex index, const LoadReport &report, TimePoint now)
 {
     const Engine &engine = engines_[index];
