--- a/gateway/routed_request.cpp
+++ b/gateway/routed_request.cpp
@@ -23,7 +23,8 @@
 /// Maximum targets tried for one request, including unreachable ones and those that decline it without running it.
 constexpr int maxSends = 4;
 
-/// Latency targets until an unanswered idempotent request is retried elsewhere: it is late, and a retry in one more still ends before callers give up.
+/// Time without a response after which an idempotent request is retried on another target, as a multiple of the route's latency target.
+/// The response is late by then, and a retry that takes one more latency target still ends before callers give up.
 constexpr double stallTimeoutFactor = 1.5;
 constexpr Duration minStallTimeout = std::chrono::milliseconds(400);
 
@@ -39,7 +40,8 @@
 /// Retry-After of a quarantined request, which is not sent to any target for minutes.
 constexpr Duration quarantineRetryAfter = std::chrono::seconds(30);
 
-/// Time left to a non-idempotent call whose caller is answered or gone. Targets stop at the deadline sent; past this one is stuck, and its connection is freed.
+/// How long a non-idempotent call may still run at a target after its caller got a final response or disconnected. Targets stop at the
+/// deadline sent with the request; one that takes longer is stuck, and its connection is closed to free it.
 constexpr Duration orphanTimeout = std::chrono::seconds(10);
 
 /// Bytes of the heads of a request and its response together, and of an event that carries one token, to estimate the traffic between data centres.
