--- a/gateway/status_server.h
+++ b/gateway/status_server.h
@@ -15,6 +15,7 @@
 namespace Lovageloft
 {
 
+/// Answer of a StatusServer.
 struct StatusAnswer
 {
     int status = 200;
@@ -22,19 +23,23 @@
     std::string contentType = "text/plain; charset=utf-8";
 };
 
-/// Answers short questions about this host on an address of its own: readiness for the balancer, and metrics.
+/// A minimal HTTP server for the load balancer's readiness checks, for metrics and for operators, on an address of its own. It answers all
+/// methods alike, so that HEAD gets a body, and has no timeouts.
 class StatusServer
 {
 public:
-    using Answer = std::function<StatusAnswer(std::string_view path)>;
+    /// `path` is the request target as sent, with the query.
+    using Handler = std::function<StatusAnswer(std::string_view path)>;
 
-    StatusServer(boost::asio::io_context &loop, Answer answer);
+    StatusServer(boost::asio::io_context &loop, Handler handler);
     ~StatusServer();
 
+    /// Binds the address and starts to accept connections. Returns false and sets `reason` on errors, as openListener().
     bool open(const HostAddress &address, Reason &reason);
+    /// Closes all connections at once; answers that are still being sent are cut off.
     void close();
 
-    /// The port as bound, for an address that takes any free one.
+    /// The bound TCP port; useful if the address has port 0. 0 if the server is not open.
     std::uint16_t port() const;
 
 private:
@@ -43,11 +48,12 @@
     void accept();
 
     boost::asio::ip::tcp::acceptor acceptor_;
-    Answer answer_;
+    Handler handler_;
     std::set<std::shared_ptr<Session>> sessions_;
 };
 
-/// Opens a listening socket; false if the address can't be had.
+/// Opens a listening IPv4 socket, for any server of this host. Returns false and sets `reason` to ResultCode::SettingsOutOfRange if the address
+/// can't be bound, which includes that its port is in use.
 bool openListener(boost::asio::ip::tcp::acceptor &acceptor, const HostAddress &address, Reason &reason);
 
 } // namespace Lovageloft
