--- a/coordination/configuration_json.cpp
+++ b/coordination/configuration_json.cpp
@@ -65,10 +65,10 @@
 std::string readName(const JsonObject &object, const std::string &field)
 {
     std::string name = readString(object, field);
-    const bool isValid = std::all_of(name.begin(), name.end(), [](unsigned char character) {
+    const bool hasOnlyAllowedCharacters = std::all_of(name.begin(), name.end(), [](unsigned char character) {
         return std::isalnum(character) != 0 || character == '-' || character == '_' || character == '.' || character == ':';
     });
-    if (!isValid || name.size() > maxNameLength) {
+    if (!hasOnlyAllowedCharacters || name.size() > maxNameLength) {
         throwFieldError(field, "must be at most 128 letters, digits, '-', '_', '.' or ':'");
     }
     return name;
--- a/coordination/order_scheduler.h
+++ b/coordination/order_scheduler.h
@@ -145,7 +145,7 @@
         std::optional<TimePoint> noticeSentAt; ///< When the notice of the next load was sent.
         std::optional<TimePoint> selectedAt; ///< When the engine was selected to load; reset once it has loaded.
         std::optional<TimePoint> orderedByOtherAt; ///< When another holder was last known to order this engine.
-        std::optional<TimePoint> outdatedSince; ///< When the engine left its desired state; kept if the desired state changes again.
+        std::optional<TimePoint> outdatedSince; ///< Since when it has not been in its desired state; kept if the desired state changes again.
         std::optional<PendingOrder> pending;
         int repeats = 0; ///< Of the last order, for the exponential backoff.
     };
--- a/decision/placement.cpp
+++ b/decision/placement.cpp
@@ -20,7 +20,7 @@
 constexpr double minOverdueSeconds = 1.0;
 constexpr double minOverdueRatio = 3;
 /// Maximum prefill time of a probe request; probes are short as their answers may come late.
-constexpr double maxProbeSeconds = 0.05;
+constexpr double maxProbePrefillSeconds = 0.05;
 constexpr double minMeanWait = 0.01;
 constexpr double maxReportGapSeconds = 5;
 constexpr double maxReportRatio = 30;
@@ -426,7 +426,7 @@
 }
 
 /// Returns the cost of sending the request to another data centre, in seconds of wait. It is 0 for long prompts, which go where they start soonest: limited to
-/// one data centre, they would have only a third or a quarter of the engines and wait behind one another, and 2% of the longest would be late.
+/// one data centre, they have only a third or a quarter of the engines and wait behind others, and 2% of the longest came late.
 double Placement::remoteCost(const PlacementRequest &request) const
 {
     constexpr double bytesPerKilobyte = 1'000;
@@ -475,7 +475,7 @@
         return;
     }
     const bool isProbe = health_.isEjected(index);
-    if (isProbe && (nominalPrefill > maxProbeSeconds || !isWaitAcceptable(engine, nominalWait))) {
+    if (isProbe && (nominalPrefill > maxProbePrefillSeconds || !isWaitAcceptable(engine, nominalWait))) {
         return;
     }
     const double cost = isProbe ? -1 : wait + prefillWeight * slowedPrefill + (engine.isRemote ? remoteCost(request) : 0);
@@ -515,7 +515,7 @@
 }
 
 /// Returns whether an engine with this expected wait may get a request. At saturation requests wait in this host's queue once an engine has a few seconds of
-/// work: those in an engine can't be cancelled, reordered between teams or sent elsewhere. They aren't sent to an engine without their prefix either: when all
+/// work: those in an engine can't be given up, reordered between teams or sent elsewhere. They aren't sent to an engine without their prefix either: when all
 /// are busy, each prefix computed twice takes capacity from all requests, queues grow, and the fleet does little but recompute prefixes even after the peak.
 bool Placement::isWaitAcceptable(const Engine &engine, double wait) const
 {
--- a/decision/request_scheduler.cpp
+++ b/decision/request_scheduler.cpp
@@ -353,7 +353,7 @@
            });
 }
 
-void RequestScheduler::onStalled(RequestId id, TimePoint now)
+void RequestScheduler::onEngineSilent(RequestId id, TimePoint now)
 {
     const auto entry = inFlight_.find(id);
     if (Engine *engine = entry != inFlight_.end() ? engineOf(entry->second) : nullptr) {
--- a/decision/request_scheduler.h
+++ b/decision/request_scheduler.h
@@ -135,15 +135,15 @@
     /// Records the first token; `cachedTokens` is the engine's own count if the answer contains one.
     void onFirstToken(RequestId id, std::optional<std::uint32_t> cachedTokens, TimePoint now);
 
-    /// Records the end of a dispatched request. Ids that are unknown or have ended are ignored here, in onFirstToken() and in onStalled().
+    /// Records the end of a dispatched request. Ids that are unknown or have ended are ignored here, in onFirstToken() and in onEngineSilent().
     void onEnded(RequestId id, DispatchResult end, TimePoint now);
 
     /// Whether a dispatched request could be retried at another engine now: one has room in its window and the retry budget allows it.
     /// Also true if the request is unknown or has ended, or if its engine was removed.
     bool canRetryElsewhere(RequestId id, TimePoint now);
 
-    /// Records that a dispatched request has waited too long and is left at its engine: shrinks the window, as the engine is overloaded.
-    void onStalled(RequestId id, TimePoint now);
+    /// The engine has been silent for too long about a dispatched request that stays there: shrinks the window, as the engine is overloaded.
+    void onEngineSilent(RequestId id, TimePoint now);
 
     /// The reports of an engine are passed on to Placement; those of engines that are not listed are ignored.
     void onLoadReport(std::string_view engine, const LoadReport &report, TimePoint now);
--- a/gateway/cache_store_duty.cpp
+++ b/gateway/cache_store_duty.cpp
@@ -12,7 +12,7 @@
 {
 
 /// Pause between two health checks. Short, because each request that fetches from a dead store loses some hundred milliseconds.
-constexpr Duration pollInterval = std::chrono::milliseconds(700);
+constexpr Duration pauseBetweenChecks = std::chrono::milliseconds(700);
 
 /// Timeout of the long poll: the store responds when something changes. Shorter polls would cost the platform more.
 constexpr Duration longPollTimeout = std::chrono::milliseconds(250);
@@ -45,7 +45,7 @@
         for (const CacheStore &store : stores) {
             gateway_.post([address = store.address, alive = isAlive(store.address)](Gateway &gateway) { gateway.fleet().announceCacheStore(address, alive); });
         }
-        sleepFor(pollInterval);
+        sleepFor(pauseBetweenChecks);
     }
 }
 
--- a/gateway/crash_guard.h
+++ b/gateway/crash_guard.h
@@ -13,8 +13,8 @@
 
 /// Quarantines requests that crash their targets, across the fleet.
 ///
-/// Each crash is reported to two home hosts of the request, chosen by rendezvous hashing, so that one of them may be unreachable. A home host
-/// that has counted crashes of three different targets quarantines the request for 10 minutes and notifies all hosts. A host that missed the notification is
+/// Each crash is reported to two home hosts of the request, chosen by rendezvous hashing, so that one of them may be unreachable. A home host that has
+/// counted three crashes of different targets or incarnations quarantines the request for 10 minutes and notifies all hosts. A host that missed this is
 /// notified again when it reports another crash. The host that saw the crashes also counts them itself, in case it reaches no home host.
 class CrashGuard
 {
--- a/gateway/host_duty.cpp
+++ b/gateway/host_duty.cpp
@@ -24,7 +24,7 @@
 constexpr Duration shareIncreaseDelay = std::chrono::seconds(3);
 
 /// Pause between two watches, so that many simultaneous restarts are read in few calls.
-constexpr Duration watchInterval = std::chrono::milliseconds(200);
+constexpr Duration pauseBetweenWatches = std::chrono::milliseconds(200);
 
 /// Time to live of the key of a quarantined request: the longest possible lease.
 constexpr Duration quarantineTimeToLive = std::chrono::minutes(10);
@@ -47,7 +47,7 @@
     while (!isStopped()) {
         if (step()) {
             backoff_.reset();
-            sleepFor(watchInterval);
+            sleepFor(pauseBetweenWatches);
         } else {
             sleepFor(backoff_.nextDelay());
         }
--- a/gateway/peer_socket.cpp
+++ b/gateway/peer_socket.cpp
@@ -185,7 +185,7 @@
         reason = {ResultCode::SettingsOutOfRange, "can't take datagrams on " + hostAddressText(address) + ": " + error.message()};
         return false;
     }
-    waitForDatagrams();
+    startReceiving();
     return true;
 }
 
@@ -399,7 +399,7 @@
     }
 }
 
-void PeerSocket::waitForDatagrams()
+void PeerSocket::startReceiving()
 {
     socket_.async_wait(udp::socket::wait_read, [this](const ErrorCode &waitError) {
         if (waitError) {
@@ -416,12 +416,12 @@
                 handleDatagram({buffer_.data(), size}, host->second);
             }
         }
-        waitForDatagrams();
+        startReceiving();
     });
 }
 
 /// Forwards a datagram, unless it may be stale, to those receivers that are known hosts, and handles it.
-void PeerSocket::forwardDatagram(std::string_view datagram, std::span<const Endpoint> receivers, const std::string &host)
+void PeerSocket::forwardAndHandleDatagram(std::string_view datagram, std::span<const Endpoint> receivers, const std::string &host)
 {
     for (const Endpoint &receiver : receivers) {
         if (hostNames_.contains(receiver) && !events_.mayHaveStaleMessages()) {
@@ -479,7 +479,7 @@
             for (const std::uint64_t address : forward.getReceivers()) {
                 receivers.push_back(decodeEndpoint(address));
             }
-            forwardDatagram(toText(forward.getDatagram()), receivers, host);
+            forwardAndHandleDatagram(toText(forward.getDatagram()), receivers, host);
             break;
         }
         case Datagram::PACKED: {
--- a/gateway/peer_socket.h
+++ b/gateway/peer_socket.h
@@ -210,11 +210,11 @@
 private:
     using Endpoint = boost::asio::ip::udp::endpoint;
 
-    void waitForDatagrams();
+    void startReceiving();
     void broadcastBytes(std::string_view datagram);
     void sendTo(const std::string &host, std::string_view datagram);
     void handleDatagram(std::string_view bytes, const std::string &host);
-    void forwardDatagram(std::string_view datagram, std::span<const Endpoint> receivers, const std::string &host);
+    void forwardAndHandleDatagram(std::string_view datagram, std::span<const Endpoint> receivers, const std::string &host);
     void sendBytes(std::string_view bytes, const Endpoint &endpoint);
 
     static constexpr std::size_t receiveBufferBytes = 65'536;
--- a/gateway/request_dispatch.cpp
+++ b/gateway/request_dispatch.cpp
@@ -133,9 +133,9 @@
     return scheduler_.canRetryElsewhere(id, BootClock::now());
 }
 
-void RequestDispatch::onStalled(RequestId id)
+void RequestDispatch::onEngineSilent(RequestId id)
 {
-    scheduler_.onStalled(id, BootClock::now());
+    scheduler_.onEngineSilent(id, BootClock::now());
 }
 
 void RequestDispatch::onEnded(RequestId id, DispatchResult result)
--- a/gateway/request_dispatch.h
+++ b/gateway/request_dispatch.h
@@ -57,7 +57,7 @@
     bool canRetryElsewhere(RequestId id);
 
     /// A target has not responded for too long to a request that stays in flight there.
-    void onStalled(RequestId id);
+    void onEngineSilent(RequestId id);
 
     /// A request is no longer in flight at its target, whatever the result.
     void onEnded(RequestId id, DispatchResult result);
--- a/gateway/routed_request.cpp
+++ b/gateway/routed_request.cpp
@@ -483,7 +483,7 @@
     if (isStalled && now < deadline_ && !gateway_.dispatch().canRetryElsewhere(schedulerId_)) {
         // No other target can take the request now. Aborting it here would lose the work done and a response that may still come, though late.
         isStalled = false;
-        gateway_.dispatch().onStalled(schedulerId_);
+        gateway_.dispatch().onEngineSilent(schedulerId_);
         stallCheckAt_ = now + stallCheckInterval;
     }
     if (now < deadline_ && !isStalled) {
--- a/gateway/target_directory.cpp
+++ b/gateway/target_directory.cpp
@@ -284,7 +284,7 @@
     return wasPublishedLongAgo ? TimePoint{} : newer.publishedAt + olderWeightsGracePeriod(weightsDeadline_);
 }
 
-/// When the target's weights expire because newer ones were published; nothing if there are no newer ones.
+/// Time after which no request may begin on the target's weights, because newer ones were published; nothing if there are no newer ones.
 std::optional<TimePoint> TargetDirectory::firstTokenDeadlineFor(const Target &target, std::string_view model) const
 {
     std::optional<TimePoint> end;
--- a/gateway/target_duty.cpp
+++ b/gateway/target_duty.cpp
@@ -16,7 +16,7 @@
 
 /// Pause between two watches. Releases and restarts change entries in bursts, which one call then returns together. Far shorter than the
 /// seconds within which a leaving target must stop getting requests.
-constexpr Duration watchInterval = std::chrono::milliseconds(150);
+constexpr Duration pauseBetweenWatches = std::chrono::milliseconds(150);
 
 /// Shortest store outage in which entries of running targets may have expired.
 constexpr Duration minOutageForExpiry = std::chrono::seconds(2);
@@ -40,7 +40,7 @@
         removeExpired();
         if (isOk) {
             backoff_.reset();
-            sleepFor(watchInterval);
+            sleepFor(pauseBetweenWatches);
             continue;
         }
         if (!storeLostAt_) {
@@ -81,7 +81,7 @@
 
 bool TargetDuty::watchOnce()
 {
-    const Duration wait = missing_.empty() ? watchTimeout : watchInterval;
+    const Duration wait = missing_.empty() ? watchTimeout : pauseBetweenWatches;
     const StoreListReply reply = store_.watch(records_.targetPrefix(), watchRevision_, wait);
     if (reply.status == StoreStatus::NotFound) {
         watchRevision_ = 0;
--- a/gateway/weights_duty.cpp
+++ b/gateway/weights_duty.cpp
@@ -18,8 +18,8 @@
 /// Timeout of one call to an engine. Engines respond within milliseconds; one that does not must not delay the renewal of the lease.
 constexpr Duration callTimeout = std::chrono::milliseconds(250);
 
-constexpr Duration leaderStepInterval = std::chrono::milliseconds(50);
-constexpr Duration followerStepInterval = std::chrono::milliseconds(250);
+constexpr Duration leaderStepPause = std::chrono::milliseconds(50);
+constexpr Duration followerStepPause = std::chrono::milliseconds(250);
 
 constexpr int statusOk = 200;
 
@@ -84,7 +84,7 @@
 {
     while (!isStopped()) {
         step();
-        sleepFor(lease_.isHeld(BootClock::now()) ? leaderStepInterval : followerStepInterval);
+        sleepFor(lease_.isHeld(BootClock::now()) ? leaderStepPause : followerStepPause);
     }
     lease_.release(BootClock::now());
     stepLease();
--- a/tests/coordination/test_freshness_model.cpp
+++ b/tests/coordination/test_freshness_model.cpp
@@ -149,7 +149,7 @@
         int ticks = 3;
         int restarts = 1;
         int lifetimeTicks = 2; ///< The number of ticks for which a request counts, including the one in which it was sent.
-        bool hasInFlight = false; ///< Whether requests and responses may stay in flight while other events happen.
+        bool allowsInFlight = false; ///< Whether requests and responses may stay in flight while other events happen.
     };
 
     Search(Limits limits, RuleMutation mutation)
@@ -235,7 +235,7 @@
             visit(learned);
             ModelState requested = state;
             requested.inFlight = {static_cast<std::int16_t>(index), static_cast<std::int16_t>(peer), state.tick, 0, 0};
-            if (!limits_.hasInFlight) {
+            if (!limits_.allowsInFlight) {
                 deliver(answer(requested));
             } else if (state.inFlight.from == none) {
                 visit(requested);
@@ -523,7 +523,7 @@
     Search search(limits, RuleMutation::None);
     BOOST_TEST(!search.findsViolation());
     BOOST_TEST_MESSAGE("entries " << limits.entries << ", ticks " << limits.ticks << ", restarts " << limits.restarts << ", messages in flight "
-                                  << limits.hasInFlight << ": " << search.stateCount() << " states");
+                                  << limits.allowsInFlight << ": " << search.stateCount() << " states");
 }
 
 } // namespace
--- a/tests/coordination/test_order_scheduler.cpp
+++ b/tests/coordination/test_order_scheduler.cpp
@@ -305,7 +305,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(atMostThreeEnginesLoadAtOnce)
+BOOST_AUTO_TEST_CASE(threeEnginesLoadAtOnceAndAllFinishSoon)
 {
     // A ticket changes the version of all engines. If all loaded at once, the weight store would slow every load down.
     Deployment deployment(1, 18);
--- a/tests/decision/replay/engine_model.h
+++ b/tests/decision/replay/engine_model.h
@@ -50,7 +50,7 @@
     /// Ends the generation of one answer.
     void finishAnswer();
 
-    /// Clears the queue and the cache, as a crash or new weights do; returns the queued and computed jobs, without those generating.
+    /// Clears the queue and the cache, as a crash or new weights do; returns the queued jobs and the one in prefill, without those generating.
     std::vector<EngineJob> restart();
 
     LoadReport loadReport(TimePoint measuredAt) const;
--- a/tests/decision/replay/placement_strategy.cpp
+++ b/tests/decision/replay/placement_strategy.cpp
@@ -28,12 +28,12 @@
         avoidUntil_.resize(std::max(avoidUntil_.size(), engine + 1));
     }
 
-    std::vector<EngineIndex> usableEngines(std::span<const char> isWindowOpen, TimePoint now)
+    std::vector<EngineIndex> usableEngines(std::span<const char> isOpen, TimePoint now)
     {
-        ensureSize(isWindowOpen.size());
+        ensureSize(isOpen.size());
         std::vector<EngineIndex> engines;
-        for (std::size_t engine = 0; engine < isWindowOpen.size(); ++engine) {
-            if (isWindowOpen[engine] != 0 && now >= avoidUntil_[engine]) {
+        for (std::size_t engine = 0; engine < isOpen.size(); ++engine) {
+            if (isOpen[engine] != 0 && now >= avoidUntil_[engine]) {
                 engines.push_back(static_cast<EngineIndex>(engine));
             }
         }
@@ -47,9 +47,9 @@
 class RandomChoice : public Baseline
 {
 public:
-    std::optional<Placed> place(const PlacementRequest & /*request*/, std::span<const char> isWindowOpen, TimePoint now, Random &random) override
+    std::optional<Placed> place(const PlacementRequest & /*request*/, std::span<const char> isOpen, TimePoint now, Random &random) override
     {
-        const std::vector<EngineIndex> engines = usableEngines(isWindowOpen, now);
+        const std::vector<EngineIndex> engines = usableEngines(isOpen, now);
         if (engines.empty()) {
             return std::nullopt;
         }
@@ -60,9 +60,9 @@
 class RoundRobin : public Baseline
 {
 public:
-    std::optional<Placed> place(const PlacementRequest & /*request*/, std::span<const char> isWindowOpen, TimePoint now, Random & /*random*/) override
+    std::optional<Placed> place(const PlacementRequest & /*request*/, std::span<const char> isOpen, TimePoint now, Random & /*random*/) override
     {
-        const std::vector<EngineIndex> engines = usableEngines(isWindowOpen, now);
+        const std::vector<EngineIndex> engines = usableEngines(isOpen, now);
         if (engines.empty()) {
             return std::nullopt;
         }
@@ -104,9 +104,9 @@
 class LeastLoaded : public LoadCounting
 {
 public:
-    std::optional<Placed> place(const PlacementRequest & /*request*/, std::span<const char> isWindowOpen, TimePoint now, Random &random) override
+    std::optional<Placed> place(const PlacementRequest & /*request*/, std::span<const char> isOpen, TimePoint now, Random &random) override
     {
-        std::vector<EngineIndex> engines = usableEngines(isWindowOpen, now);
+        std::vector<EngineIndex> engines = usableEngines(isOpen, now);
         if (engines.empty()) {
             return std::nullopt;
         }
@@ -120,11 +120,11 @@
 class BoundedHash : public LoadCounting
 {
 public:
-    std::optional<Placed> place(const PlacementRequest &request, std::span<const char> isWindowOpen, TimePoint now, Random &random) override
+    std::optional<Placed> place(const PlacementRequest &request, std::span<const char> isOpen, TimePoint now, Random &random) override
     {
         constexpr double bound = 1.25;
         constexpr std::size_t keyLevel = 16;
-        const std::vector<EngineIndex> engines = usableEngines(isWindowOpen, now);
+        const std::vector<EngineIndex> engines = usableEngines(isOpen, now);
         if (engines.empty()) {
             return std::nullopt;
         }
@@ -157,7 +157,7 @@
     {
     }
 
-    std::optional<Placed> place(const PlacementRequest &request, std::span<const char> isWindowOpen, TimePoint now, Random & /*random*/) override
+    std::optional<Placed> place(const PlacementRequest &request, std::span<const char> isOpen, TimePoint now, Random & /*random*/) override
     {
         // The same cost function and the same rule for busy engines as Placement, but with exact figures.
         double meanWait = 0;
@@ -176,7 +176,7 @@
             const double firstToken = engines_[engine].exactFirstToken(chainOf(request, engine), request.promptTokens, toSeconds(now.time_since_epoch()));
             const double cost = wait + prefillWeight * (firstToken - wait);
             minCost = std::min(minCost, cost);
-            if (isWaitAcceptable(isWindowOpen[engine], wait) && cost < bestCost) {
+            if (isWaitAcceptable(isOpen[engine], wait) && cost < bestCost) {
                 bestCost = cost;
                 best = Placed{static_cast<EngineIndex>(engine), {}};
             }
@@ -199,9 +199,9 @@
         return engines_[engine].exactFirstToken({}, 0, toSeconds(now.time_since_epoch()));
     }
 
-    bool isWaitAcceptable(char isWindowOpen, double wait) const
+    bool isWaitAcceptable(char isOpen, double wait) const
     {
-        return wait <= (isWindowOpen != 0 ? policy_.maxWaitWindowOpen : policy_.maxWaitWindowFull);
+        return wait <= (isOpen != 0 ? policy_.maxWaitWindowOpen : policy_.maxWaitWindowFull);
     }
 
     std::span<const BlockHash> chainOf(const PlacementRequest &request, std::size_t engine) const
@@ -238,10 +238,10 @@
         placement_.setHostCount(context.hostCount);
     }
 
-    std::optional<Placed> place(const PlacementRequest &request, std::span<const char> isWindowOpen, TimePoint now, Random &random) override
+    std::optional<Placed> place(const PlacementRequest &request, std::span<const char> isOpen, TimePoint now, Random &random) override
     {
-        for (std::size_t engine = 0; engine < isWindowOpen.size(); ++engine) {
-            placement_.setWindowOpen(static_cast<EngineIndex>(engine), isWindowOpen[engine] != 0);
+        for (std::size_t engine = 0; engine < isOpen.size(); ++engine) {
+            placement_.setWindowOpen(static_cast<EngineIndex>(engine), isOpen[engine] != 0);
         }
         Reason reason;
         const auto decision = placement_.place(request, now, random, reason);
--- a/tests/decision/replay/placement_strategy.h
+++ b/tests/decision/replay/placement_strategy.h
@@ -26,8 +26,8 @@
 
     virtual ~PlacementStrategy() = default;
 
-    /// Chooses an engine; `isWindowOpen` tells which engines have room in their windows.
-    virtual std::optional<Placed> place(const PlacementRequest &request, std::span<const char> isWindowOpen, TimePoint now, Random &random) = 0;
+    /// Chooses an engine; `isOpen` tells which engines aren't leaving and, if the strategy obeys windows, have room in theirs.
+    virtual std::optional<Placed> place(const PlacementRequest &request, std::span<const char> isOpen, TimePoint now, Random &random) = 0;
 
     /// Returns the expected prompt tokens to compute, for the queueing cost. By default three quarters of the prompt are assumed to be
     /// cached.
--- a/tests/decision/replay/replay.cpp
+++ b/tests/decision/replay/replay.cpp
@@ -128,12 +128,12 @@
 
 std::array<char, Replay::engineCount> Replay::openEngines(const Router &router) const
 {
-    std::array<char, engineCount> isWindowOpen{};
+    std::array<char, engineCount> isOpen{};
     for (std::size_t engine = 0; engine < engineCount; ++engine) {
         const bool hasRoom = !strategy_.obeysWindows || router.windows[engine].canStart(1);
-        isWindowOpen[engine] = static_cast<char>(hasRoom && !engines_[engine].isLeaving);
+        isOpen[engine] = static_cast<char>(hasRoom && !engines_[engine].isLeaving);
     }
-    return isWindowOpen;
+    return isOpen;
 }
 
 void Replay::dispatch(Router &router)
--- a/tests/decision/test_admission_queue.cpp
+++ b/tests/decision/test_admission_queue.cpp
@@ -103,7 +103,7 @@
     BOOST_TEST(order() == std::vector<std::uint64_t>({2}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(aFloodOfOneTeamLeavesCapacityForOthers)
+BOOST_AUTO_TEST_CASE(aFloodOfOneTeamLeavesQueueSpaceForOthers)
 {
     // One team sends small requests with distant deadlines without end. If it could fill the queue, teams with nothing queued would
     // be refused.
--- a/tests/decision/test_request_scheduler.cpp
+++ b/tests/decision/test_request_scheduler.cpp
@@ -166,7 +166,7 @@
     BOOST_REQUIRE(!scheduler.submit(request(100), start));
     decideOne();
     const std::size_t initial = scheduler.windowOf("c");
-    scheduler.onStalled(RequestId{100}, start);
+    scheduler.onEngineSilent(RequestId{100}, start);
     BOOST_TEST(scheduler.windowOf("c") < initial);
     BOOST_TEST(!scheduler.isEjected("c"));
 }
--- a/tests/gateway/test_fleet_news.cpp
+++ b/tests/gateway/test_fleet_news.cpp
@@ -124,19 +124,19 @@
         StoreListReply list(std::string_view listed) override
         {
             ++fleet_.listCalls;
-            return recordCall() ? ForwardingStore::list(listed) : StoreListReply{};
+            return countCallAndCheckAccess() ? ForwardingStore::list(listed) : StoreListReply{};
         }
 
         StoreListReply watch(std::string_view watched, std::int64_t after, Duration timeout) override
         {
-            if (!recordCall()) {
+            if (!countCallAndCheckAccess()) {
                 return {};
             }
             return fleet_.isHistoryCompacted ? StoreListReply{StoreStatus::NotFound, {}, 0} : ForwardingStore::watch(watched, after, timeout);
         }
 
     private:
-        bool recordCall()
+        bool countCallAndCheckAccess()
         {
             // Calls of relays are not counted: their watches would wait at the store, but here they return and are repeated at each step.
             fleet_.storeCalls += std::find(fleet_.relays.begin(), fleet_.relays.end(), name_) == fleet_.relays.end() ? 1 : 0;
--- a/tests/gateway/test_weights_records.cpp
+++ b/tests/gateway/test_weights_records.cpp
@@ -38,7 +38,7 @@
 BOOST_AUTO_TEST_CASE(weightsFoundAtStartupAreNotRecorded)
 {
     // A leader that has just started doesn't know how long ago the weights were published. If it recorded them as recent, a fleet that
-    // restarts again would use older weights for the whole grace period once more.
+    // restarts again would use older weights once more for as long as after the first restart.
     records.record({"m", 2, start, true}, start);
     BOOST_TEST(!isRecorded());
 }
